--- a/roadlift/crashes/__init__.py
+++ b/roadlift/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Notice work that ends the endpoints that are given it, on any interface."""
+"""Detect work that crashes the endpoints that run it, on any interface."""
--- a/roadlift/crashes/ends.py
+++ b/roadlift/crashes/ends.py
@@ -1,4 +1,4 @@
-"""Tell whether an endpoint ended, or only cut some answers."""
+"""Detect whether an endpoint crashed, or only cut off some answers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -8,20 +8,21 @@
 from roadlift.decisions.crashes import STRONG, WEAK
 from roadlift.relay.upstream import Address, Request, WholeAnswer
 
-# Seconds behind a cut answer until its endpoint is connected to: all that ran
-# there are cut by then, and a process that ended has no listener any more.
+# Seconds from a cut answer until a connection to its endpoint is tried: by
+# then all calls that ran there are cut, and a process that exited no longer
+# has a listener.
 CHECK_DELAY = 0.02
-CHECK_TIMEOUT = 0.3  # Seconds for that connection.
-# Seconds behind which it is known as a rule: a call that was cut is not sent
-# to another endpoint sooner, or a fourth one ends under it.
+CHECK_TIMEOUT = 0.3  # Timeout of that connection, in seconds.
+# Seconds after which the result is usually known: a call that was cut is not
+# sent to another endpoint sooner, as it might crash a fourth one.
 KNOWN_DELAY = 0.04
-MOST_NAMED = 16  # Calls that one instance names for one end of an endpoint.
+MOST_NAMED = 16  # Suspects that one instance reports for one crash.
 
 
 class End(NamedTuple):
-    """The end of an endpoint with ``cut`` calls of this process.
+    """The crash of an endpoint with ``cut`` calls of this process.
 
-    ``suspects`` are the weights of those that may be the cause, by identity.
+    ``suspects`` maps the identities of calls that may be the cause to weights.
     """
 
     endpoint: str
@@ -30,7 +31,7 @@
 
 
 class EndCheck:
-    """The cut calls of this process, and whether their endpoints ended."""
+    """The cut calls of this process, and whether their endpoints crashed."""
 
     def __init__(self, kernel: Kernel, on_end: Callable[[End], None]) -> None:
         self._kernel = kernel
@@ -40,21 +41,22 @@
     def note_cut(
         self, endpoint: str, address: Address, identity: bytes, is_strong: bool
     ) -> None:
-        """Learn that an endpoint closed the connection of a call it had.
+        """Record that an endpoint closed the connection of a call it had.
 
-        ``is_strong`` tells that the call had begun to run and brought nothing.
+        ``is_strong`` means that the call had begun to run and produced
+        nothing.
         """
         found = self._cuts.setdefault(endpoint, {})
         weight = STRONG if is_strong else WEAK
         is_first = not found
-        # Of several copies of a call one had begun and the others waited.
+        # Of several copies of a call, one had begun and the others waited.
         found[identity] = max(found.get(identity, WEAK), weight)
         if is_first:
             check = lambda: self._check(endpoint, address)
             self._kernel.loop.call_later(CHECK_DELAY, check)
 
     def _check(self, endpoint: str, address: Address) -> None:
-        """Connect to an endpoint, and send nothing."""
+        """Connect to an endpoint without sending anything."""
         request = Request(
             "GET", "/", may_send=lambda: False, connect_timeout=CHECK_TIMEOUT
         )
@@ -66,14 +68,14 @@
         cuts = self._cuts.pop(endpoint, {})
         if isinstance(error, ConnectionRefused):
             self._on_end(End(endpoint, len(cuts), choose_suspects(cuts)))
-        # Else it lives, or nobody can tell: a path that is cut, a host without
-        # power. Calls can't be the cause of that.
+        # Otherwise it is alive, or the check is inconclusive: a network path
+        # that is cut, a host without power. Calls can't be the cause of that.
 
 
 def choose_suspects(cuts: dict[bytes, int]) -> dict[bytes, int]:
-    """Return the calls that may be the cause of an end, and their weights.
+    """Return the calls that may be the cause of a crash, and their weights.
 
-    Where some had begun and brought nothing, the others are none.
+    If some had begun and produced nothing, the others are excluded.
     """
     strongest = max(cuts.values(), default=WEAK)
     chosen = [one for one in cuts.items() if one[1] == strongest]
--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -1,8 +1,8 @@
-"""Know which work ends the endpoints that are given it.
+"""Keep track of the work that crashes the endpoints that run it.
 
-Work is a call that an endpoint runs, or an adapter that an engine loads. What
-is learned here is told to others by instance/crashes.py; the interface
-``openai`` has each instance know its own.
+Work is a call that an endpoint runs, or an adapter that an engine loads.
+instance/crashes.py reports the evidence that is found here to other instances;
+with the interface ``openai`` each instance keeps its own.
 """
 
 import zlib
@@ -18,10 +18,10 @@
 
 @parts.register("crashledger")
 class CrashLedger:
-    """The signs that this process knows.
+    """The crash evidence that this process has.
 
-    ``on_news`` is called with signs that were learned here, or are cleared,
-    and ``on_change`` with the identity of work of which more is known.
+    ``on_evidence`` is called with evidence that was found or cleared here, and
+    ``on_change`` with the identity of work whose evidence changed.
     """
 
     name = "crashledger"
@@ -34,16 +34,16 @@
         self.on_change: list[Callable[[bytes], None]] = []
 
     def start(self) -> None:
-        """Do nothing; the ledger is told."""
+        """Do nothing; the ledger only reacts to calls."""
 
     def close(self) -> None:
         """Do nothing."""
 
     def judge(self, identify: Callable[[], bytes]) -> EndsEndpoints | None:
-        """Return why work is not to be given to an endpoint now, or None.
+        """Return why work must not be given to an endpoint now, or None.
 
-        ``identify`` returns its identity; it is asked only where anything is
-        known of any work.
+        ``identify`` returns its identity; it is called only if there is
+        evidence against any work.
         """
         if self.crashes.is_empty:
             return None
@@ -55,28 +55,29 @@
         return EndsEndpoints(f"{ends} ended under it", round(seconds, 1))
 
     def is_suspect(self, identify: Callable[[], bytes]) -> bool:
-        """Tell whether an endpoint ended under work that was not cleared."""
+        """Return whether an endpoint crashed under work not yet cleared."""
         return not self.crashes.is_empty and self.crashes.is_suspect(identify())
 
     def learn(self, signs: list[Sign]) -> None:
-        """Learn of signs that no other instance has told."""
+        """Add evidence that no other instance has reported."""
         found = self.merge(signs)
         if found:
             for listener in self.on_news:
                 listener(found)
 
     def merge(self, signs: list[Sign]) -> list[Sign]:
-        """Learn of signs; return those that are new."""
+        """Add evidence; return what is new."""
         refused = self.crashes.list_refused()
         found = self.crashes.merge(signs, self._clock.now())
         changed = {sign.identity for sign in found}
-        # A cause that is sure now may explain what others were refused for.
+        # A newly confirmed cause may explain crashes for which other work was
+        # refused.
         for identity in changed | (refused ^ self.crashes.list_refused()):
             self._note_change(identity)
         return found
 
     def clear(self, identify: Callable[[], bytes]) -> None:
-        """Learn that work came to a good end, or is to be given again."""
+        """Clear work that succeeded, or that is to be tried again."""
         if self.crashes.is_empty:
             return
         identity = identify()
--- a/roadlift/crashes/turns.py
+++ b/roadlift/crashes/turns.py
@@ -1,22 +1,22 @@
-"""Let calls under suspicion run one at a time.
+"""Run suspected calls one at a time.
 
-A call that ends engines was seen to come to several instances, and several
-times to one, within the 0.1 seconds that an engine lives under it. So of calls
-that are the same and under suspicion one runs here at a time, until it brings
-an event or ends.
+A call that crashes engines was seen to arrive at several instances, and
+several times at one, within the 0.1 seconds that an engine survives it.
+Therefore of identical suspected calls only one runs here at a time, until it
+produces an event or ends.
 """
 
 from collections.abc import Callable
 
 from roadlift.core.loop import Loop, Timer
 
-# Seconds that a turn lasts at most: ten times as long as engines were seen to
-# live under a call that ends them.
+# Seconds after which a trial slot is released: ten times as long as engines
+# were seen to survive a call that crashes them.
 TURN_LIMIT = 1.0
 
 
 class _Turn:
-    """A call that has its turn, and what waits for its end."""
+    """The timer of a call that has a trial slot, and who waits for its end."""
 
     def __init__(self, timer: Timer) -> None:
         self.timer = timer
@@ -24,20 +24,20 @@
 
 
 class Turns:
-    """The calls under suspicion that have their turn, by identity."""
+    """The suspected calls that have a trial slot, by identity."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._turns: dict[bytes, _Turn] = {}
 
     def begin(self, identity: bytes) -> None:
-        """Give a call its turn."""
+        """Allocate a trial slot to a call."""
         self.end(identity)
         timer = self._loop.call_later(TURN_LIMIT, lambda: self.end(identity))
         self._turns[identity] = _Turn(timer)
 
     def wait(self, identity: bytes, on_turn: Callable[[], None]) -> bool:
-        """Call ``on_turn`` once the turn is over; False if there is none."""
+        """Call ``on_free`` once the slot is free; False if not in use."""
         turn = self._turns.get(identity)
         if turn is None:
             return False
@@ -45,7 +45,7 @@
         return True
 
     def end(self, identity: bytes) -> None:
-        """End a turn; without one this does nothing."""
+        """Release a trial slot; without one this does nothing."""
         turn = self._turns.pop(identity, None)
         if turn is None:
             return
--- a/roadlift/decisions/__init__.py
+++ b/roadlift/decisions/__init__.py
@@ -1,6 +1,6 @@
 """Decide how calls wait, are placed and are refused.
 
 Plain objects without sockets, kernel or clock: times are arguments, in
-seconds; observations go in, and typed decisions come out. Others can embed
-them; ``roadlift.instance`` carries them out.
+seconds; observations go in, and typed decisions come out. Other applications
+can embed them; ``roadlift.instance`` carries them out.
 """
--- a/roadlift/decisions/crashes.py
+++ b/roadlift/decisions/crashes.py
@@ -1,18 +1,20 @@
-"""Judge which calls end the endpoints that run them.
-
-Load pattern: a call ends each endpoint that begins to run it, with all that
-runs there and all that the endpoint holds. It comes again under other ids, at
-any instance, each 0.2 to 0.8 seconds and at times at several at once. Of all
-calls that run on an endpoint when it ends, one is the cause at most, and
-endpoints end for other reasons too.
-
-What is known is a set of signs: an endpoint ended while it ran a call. Sets of
-several instances are merged in any order. A call is refused once its signs
-weigh enough, for longer with each further end, and it is cleared as soon as it
-runs to a good end: then the ends had another cause. Where many calls end
-endpoints, what only was there at several of these ends is told apart: a weak
-sign counts for less beside a strong one of the same end, and for nothing once
-the work of that one is sure to end endpoints.
+"""Identify calls that crash the endpoints that run them.
+
+Load pattern: a call crashes every endpoint that starts to run it, together
+with all other calls that run there and everything the endpoint holds. The
+caller repeats it under other ids, at any instance, every 0.2 to 0.8 seconds
+and sometimes several times at once. Of the calls that run on an endpoint when
+it crashes, at most one is the cause, and endpoints also crash for other
+reasons.
+
+The state is a set of pieces of evidence: an endpoint crashed while it ran a
+call. The sets of several instances can be merged in any order. A call is
+refused once the weight of its evidence reaches a threshold, for longer after
+each further crash. It is cleared as soon as it runs to a successful end, as
+the crashes then had another cause. Where several calls crash endpoints, calls
+that were only present at some of these crashes are told apart: weak evidence
+counts for less if there is strong evidence for the same crash, and for nothing
+once the work with the strong evidence is confirmed to crash endpoints.
 """
 
 import zlib
@@ -20,35 +22,36 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Weights of a sign: a call that ends its engine has the head of an answer and
-# no event, most others have events. A call that was only sent, or had events,
-# may be the cause too.
+# Weights of evidence. A call that crashes its engine has received the head of
+# an answer but no event; most other calls have received events. A call that
+# was only sent, or that had received events, may still be the cause.
 STRONG = 3
 WEAK = 2
-SHARED = 1  # Weight that counts of a weak sign beside a strong one.
-# Weight of all signs from which on a call is refused: two strong ones or three
-# of any kind, each of another endpoint. A call that is not the cause would
-# have to come again twice, and each time to begin where an endpoint ends.
+SHARED = 1  # Weight of weak evidence if the same crash has strong evidence.
+# Total weight from which a call is refused: two strong pieces of evidence, or
+# three of any kind, each from another endpoint. A call that is not the cause
+# would have to be repeated twice and start on a crashing endpoint each time.
 LIMIT = 6
-# Seconds of a refusal behind the second end; ten times as long with each
-# further one, as a call may be tried again: the endpoints' software may have
-# been mended.
+# Seconds of a refusal after the second crash, ten times as long after each
+# further one. Refusals expire because the endpoints' software may have been
+# fixed.
 FIRST_REFUSAL = 60.0
 GROWTH = 10.0
 MOST_REFUSAL = 3600.0
-# By how much longer, at most, an instance refuses than another, as a part. So
-# one tries a call before the others let it in, and tells them how it ended.
+# Largest fraction by which an instance refuses for longer than another. One
+# instance thus tries a call before the others admit it, and reports the result
+# to them.
 SPREAD = 0.1
-# Seconds that a sign is kept behind the last end or the end of the refusal.
+# Seconds that evidence is kept after the last crash or the end of the refusal.
 MEMORY = 600.0
-MOST_CALLS = 256  # Calls that are remembered.
+MOST_CALLS = 256  # Calls with evidence that are kept.
 
 
 class Sign(NamedTuple):
-    """That an endpoint ended while it ran a call, ``age`` seconds ago.
+    """An endpoint crashed while it ran a call, ``age`` seconds ago.
 
-    ``identity`` is of the call's work, ``endpoint`` of one run of an endpoint;
-    a ``weight`` of 0 tells that the call was not the cause.
+    ``identity`` identifies the call's work, ``endpoint`` one run of an
+    endpoint. A ``weight`` of 0 means that the call was not the cause.
     """
 
     identity: bytes
@@ -58,22 +61,22 @@
 
 
 class _Causes(NamedTuple):
-    """Endpoints whose end has a strong sign, and those with a sure cause."""
+    """Endpoints whose crash has strong evidence, or a confirmed cause."""
 
     suspected: set[str]
     sure: set[str]
 
     def weigh(self, endpoint: str, weight: int) -> int:
-        """Return what counts of a sign."""
+        """Return the weight with which a piece of evidence counts."""
         if weight != WEAK or endpoint not in self.suspected:
             return weight
         return 0 if endpoint in self.sure else SHARED
 
 
 class _Record:
-    """The signs of one call: weights and times, by endpoint.
+    """The evidence against one call: weights and times, by endpoint.
 
-    ``causes`` are of all that is known.
+    ``causes`` is shared by all records.
     """
 
     __slots__ = ("causes", "signs")
@@ -83,7 +86,7 @@
         self.causes = causes
 
     def _list_weights(self) -> list[int]:
-        """Return the weights above 0 that count, one for each end."""
+        """Return the weights above 0 that count, one for each crash."""
         found = [
             self.causes.weigh(endpoint, weight)
             for endpoint, (weight, _) in self.signs.items()
@@ -92,43 +95,43 @@
 
     @property
     def is_sure(self) -> bool:
-        """Tell whether all signs weigh enough, whatever else was there."""
+        """Return whether the unreduced weights reach the threshold."""
         return sum(weight for weight, _ in self.signs.values()) >= LIMIT
 
     @property
     def weight(self) -> int:
-        """Return the weight of the signs that count."""
+        """Return the total weight of the evidence that counts."""
         return sum(self._list_weights())
 
     @property
     def is_refused(self) -> bool:
-        """Tell whether the signs that count weigh enough."""
+        """Return whether the evidence that counts reaches the threshold."""
         return self.weight >= LIMIT
 
     @property
     def ends(self) -> int:
-        """Return how many endpoints ended that count."""
+        """Return the number of crashes that count."""
         return len(self._list_weights())
 
     def list_strong(self) -> list[str]:
-        """Return the endpoints of the strong signs."""
+        """Return the endpoints with strong evidence."""
         return [name for name, (weight, _) in self.signs.items() if weight >= STRONG]
 
     def measure_refusal(self) -> float:
-        """Return the seconds of the refusal behind the last end."""
+        """Return the seconds of the refusal after the last crash."""
         if not self.is_refused:
             return 0.0
         return min(MOST_REFUSAL, FIRST_REFUSAL * GROWTH ** (self.ends - 2))
 
     def find_last(self) -> float:
-        """Return when the last endpoint ended."""
+        """Return the time of the last crash."""
         return max(at for _, at in self.signs.values())
 
 
 class Crashes:
-    """The calls under which endpoints ended, as one instance knows them.
+    """The calls under which endpoints crashed, as known to one instance.
 
-    ``rank``, from 0 to 1, tells the instances apart.
+    ``rank``, from 0 to 1, differs between instances.
     """
 
     def __init__(self, rank: float = 0.0) -> None:
@@ -139,31 +142,31 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is known, so that no call need be looked at."""
+        """Return whether there is no evidence against any call."""
         return not self._records
 
     def is_suspect(self, identity: bytes) -> bool:
-        """Tell whether an endpoint ended under a call that was not cleared."""
+        """Return whether an endpoint crashed under a call not yet cleared."""
         record = self._records.get(identity)
         return record is not None and record.weight > 0
 
     def is_refused(self, identity: bytes) -> bool:
-        """Tell whether the signs against a call weigh enough to refuse it."""
+        """Return whether the evidence suffices to refuse a call."""
         record = self._records.get(identity)
         return record is not None and record.is_refused
 
     def is_settled(self, identity: bytes) -> bool:
-        """Tell whether nothing speaks against a call any more."""
+        """Return whether no evidence against a call remains."""
         record = self._records.get(identity)
         return record is None or not any(weight for weight, _ in record.signs.values())
 
     def count_ends(self, identity: bytes) -> int:
-        """Return how many endpoints ended under a call."""
+        """Return the number of endpoints that crashed under a call."""
         record = self._records.get(identity)
         return record.ends if record is not None else 0
 
     def count_refused(self) -> int:
-        """Return how many calls are refused, or tried once more."""
+        """Return how many calls are refused or on a further trial."""
         return sum(record.is_refused for record in self._records.values())
 
     def measure_refusal(self, identity: bytes, now: float) -> float:
@@ -175,18 +178,18 @@
         return max(0.0, until - now)
 
     def merge(self, signs: Iterable[Sign], now: float) -> list[Sign]:
-        """Learn of signs; return those that changed what is known."""
+        """Add evidence; return the pieces that changed the state."""
         found = [sign for sign in signs if self._merge(sign, now)]
         if found:
             self._explain()
         return found
 
     def list_refused(self) -> set[bytes]:
-        """Return the calls that are refused, or tried once more."""
+        """Return the calls that are refused or on a further trial."""
         return {name for name, record in self._records.items() if record.is_refused}
 
     def clear(self, identity: bytes) -> bool:
-        """Learn that a call ran to a good end; tell whether that is news."""
+        """Clear a call that succeeded; return whether this is new."""
         record = self._records.get(identity)
         if record is None or not record.weight:
             return False
@@ -196,7 +199,7 @@
         return True
 
     def list_signs(self, now: float, identity: bytes | None = None) -> list[Sign]:
-        """Return the signs of one call, or of all."""
+        """Return the evidence against one call, or against all."""
         records = self._records.items()
         return [
             Sign(name, endpoint, weight, round(now - at, 3))
@@ -206,7 +209,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop expired evidence."""
         for identity, record in list(self._records.items()):
             until = record.find_last() + record.measure_refusal() + MEMORY
             if now > until:
@@ -215,7 +218,7 @@
         self._explain()
 
     def compute_checksum(self) -> int:
-        """Return a number that is the same where the same signs are known."""
+        """Return a checksum, equal on instances with the same evidence."""
         if self._checksum is None:
             self._checksum = 0
             for identity, record in self._records.items():
@@ -238,9 +241,9 @@
         return True
 
     def _explain(self) -> None:
-        """Find the causes of ends, from all signs that are known.
+        """Recompute the causes of crashes from all evidence.
 
-        The same signs give the same, in whatever order they came.
+        The result does not depend on the order in which the evidence arrived.
         """
         suspected: set[str] = set()
         sure: set[str] = set()
@@ -253,7 +256,7 @@
             record.causes = self._causes
 
     def _make_room(self) -> None:
-        """Forget the oldest call, one that is not refused if there is one."""
+        """Drop the oldest call, one that is not refused if there is one."""
         if len(self._records) <= MOST_CALLS:
             return
         older = list(self._records)[:-1]
@@ -262,8 +265,9 @@
 
 
 def _is_stronger(weight: int, known: int) -> bool:
-    """Tell whether a sign goes before another of the same end.
+    """Return whether evidence replaces other evidence of the same crash.
 
-    That work was not the cause is sure; else who saw most of it counts.
+    That work was not the cause is certain. Otherwise the instance that saw
+    most of the call counts.
     """
     return weight != known and (weight == 0 or weight > known > 0)
--- a/roadlift/decisions/limits.py
+++ b/roadlift/decisions/limits.py
@@ -1,52 +1,54 @@
-"""Give out the calls that an endpoint takes, so that no instance counts alone.
-
-Load pattern: an endpoint in need names how many calls a second it takes from
-all instances together, some tenths to some tens. Hundreds of instances send
-to it, each less often than once in seconds, so that no instance's part of the
-limit is a whole call: shares would either be passed by all at once or serve
-nobody. So one instance, the owner of the endpoint's zone, gives each send
-out: one that wants to send asks it, a few milliseconds before, and is told
-from when it may, or when to ask again. A grant expires soon, so that one that
-is held up is not used behind others.
-
-Over any span there are no more sends than the owners gave out in it and in a
-grant's life before it. Only one owner has a valid lease; one that lost it, or
-has not got it yet, gives out a small part, and all that hear no owner share a
-smaller one. Sends without a grant, made before the limit was known, are told
-of and taken off what is given out next.
+"""Allocate the calls that a rate-limited endpoint accepts, across instances.
+
+Load pattern: a rate-limited endpoint announces how many calls a second it
+accepts from all instances together, from a few tenths to some tens. Hundreds
+of instances send to it, each less often than once in several seconds, so that
+no instance's share of the limit is a whole call: static shares would either be
+exceeded by all instances at once or serve nobody. Therefore one instance, the
+owner of the endpoint's zone, grants each send. An instance requests a send a
+few milliseconds before it needs it, and is told from when it may send, or when
+to request again. A grant expires soon, so that a delayed instance does not use
+it after the sends of others.
+
+Over any window there are no more sends than the owners granted in it and in
+the lifetime of a grant before it. Only one owner has a valid lease. An owner
+that lost its lease, or has not acquired it yet, grants a small fraction, and
+all instances that reach no owner share a smaller one. Sends without a grant,
+made before the limit was known, are reported and deducted from later grants.
 """
 
 from typing import NamedTuple
 
-# Part of a limit that an owner with a valid lease gives out, that one without
-# gives out, and that all share who hear no owner. Together with what a grant's
-# life adds they stay below one and a half times the limit.
+# Fractions of a limit: granted by an owner with a valid lease, granted by one
+# without, and shared by all instances that reach no owner. Together with what
+# the lifetime of a grant adds, they stay below one and a half times the limit.
 GIVEN_PART = 1.0
 UNSURE_PART = 0.25
 FLOOR_PART = 0.05
-GRANT_LIFE = 0.4  # Seconds for which a send may be begun.
-# Seconds that a call waits for its send at most: below the pause between two
-# owners of a zone, so that what both give out never begins at the same time.
+GRANT_LIFE = 0.4  # Seconds in which a granted send may begin.
+# Longest wait of a call for its send, in seconds: shorter than the interval
+# between two owners of a zone, so that sends granted by both never begin at
+# the same time.
 MOST_PATIENCE = 0.4
 BURST = 2.0  # Sends that may begin at once.
-# Seconds of the limit at most that are taken off for sends without a grant:
-# an endpoint that is shunned for longer serves nobody.
+# Largest deduction for sends without a grant, in seconds of the limit: an
+# endpoint that is avoided for longer serves nobody.
 MOST_DEBT = 1.5
-# A limit of 0, in calls a second: without a call now and then nobody would
-# learn that the endpoint takes calls again.
+# Limit that replaces 0, in calls a second: without an occasional call nobody
+# would notice that the endpoint accepts calls again.
 LEAST_LIMIT = 0.1
-# Calls a second from which on a limit binds nothing.
+# Calls a second from which a limit has no effect.
 MOST_LIMIT = 10_000.0
-ASK_MEMORY = 2.0  # Seconds for which the answer to an ask is repeated.
-# Seconds for which it is remembered, and told, that a limit ended: an instance
-# that has not heard of it does not bring it back.
+ASK_MEMORY = 2.0  # Seconds for which the answer to a request is repeated.
+# Seconds for which the end of a limit is kept and reported, so that an
+# instance that has not received it yet does not restore the limit.
 END_MEMORY = 10.0
 
 
 class Basis(NamedTuple):
-    """By what a send was granted: the owner's term, and its count of namings.
+    """What a send was granted on: the owner's term and announcement count.
 
-    An answer to such a send is newer than all namings up to ``serial``.
+    An answer to such a send is newer than all announcements up to ``serial``.
     """
 
     fence: int
@@ -57,11 +59,12 @@
 
 
 class Claim(NamedTuple):
-    """What an instance tells the owner of an endpoint's limit.
+    """What an instance reports to the owner of an endpoint's limit.
 
-    ``limit`` is what it goes by, in calls a second, or None. With
-    ``is_named`` the endpoint itself said so, or, of None, said nothing, in the
-    answer to a send on ``basis``. ``spent`` counts its sends without a grant.
+    ``limit`` is the one that it applies, in calls a second, or None. If
+    ``is_named``, the endpoint itself announced it, or with None announced no
+    limit, in the answer to a send on ``basis``. ``spent`` is the number of its
+    sends without a grant.
     """
 
     process: str
@@ -72,9 +75,9 @@
 
 
 class Grant(NamedTuple):
-    """The answer to an ask: from when, in seconds, a send may begin.
+    """The answer to a request: in how many seconds a send may begin.
 
-    Where ``is_given`` is false, ``delay`` is until when none is free.
+    If ``is_given`` is false, ``delay`` is the time until one is available.
     """
 
     is_given: bool
@@ -82,18 +85,18 @@
 
 
 def adapt(limit: float | None) -> float | None:
-    """Return a limit that can be gone by, or None where it binds nothing."""
+    """Return a limit that can be applied, or None if it has no effect."""
     if limit is None or limit >= MOST_LIMIT:
         return None
     return max(LEAST_LIMIT, limit)
 
 
 class LimitRecord:
-    """What is known of one endpoint's limit, by answers that overtake others.
+    """What is known of one endpoint's limit, from answers in any order.
 
-    A lower limit counts at once, whatever its age. A higher one, or none, does
-    so only in the answer to a send that was granted behind the last naming of
-    a lower one: any other may be older than that.
+    A lower limit is applied at once, whatever its age. A higher one, or none,
+    is applied only from the answer to a send that was granted after the last
+    announcement of a lower one: any other answer may be older than that.
     """
 
     def __init__(self, fence: int) -> None:
@@ -103,11 +106,11 @@
 
     @property
     def basis(self) -> Basis:
-        """Return on what sends are granted now."""
+        """Return the basis on which sends are granted now."""
         return Basis(self._fence, self._serial)
 
     def learn(self, limit: float | None, basis: Basis) -> bool:
-        """Learn what an answer named; tell whether that changed anything."""
+        """Apply the limit of an answer; return whether it changed anything."""
         before = self.limit
         if limit is not None and (before is None or limit <= before):
             self._serial += 1
@@ -118,11 +121,11 @@
 
 
 class SendLedger:
-    """What the owner of an endpoint's zone gives out of its limit."""
+    """The sends that the owner of an endpoint's zone grants of its limit."""
 
     def __init__(self, fence: int, now: float) -> None:
         self._record = LimitRecord(fence)
-        # When the next send would begin if none were given out in advance.
+        # When the next send would begin if none were granted in advance.
         self._next_at = now
         self._gap = 0.0
         self._spent: dict[str, int] = {}
@@ -132,20 +135,20 @@
 
     @property
     def limit(self) -> float | None:
-        """Return the limit in calls a second, or None where there is none."""
+        """Return the limit in calls a second, or None if there is none."""
         return self._record.limit
 
     @property
     def basis(self) -> Basis:
-        """Return on what sends are granted now."""
+        """Return the basis on which sends are granted now."""
         return self._record.basis
 
     def is_forgotten(self, now: float) -> bool:
-        """Tell whether the limit ended long ago."""
+        """Return whether the limit ended long ago."""
         return self._ended_at is not None and now - self._ended_at > END_MEMORY
 
     def learn(self, claim: Claim, now: float) -> bool:
-        """Take what an instance tells; tell whether the limit changed."""
+        """Apply an instance's report; return whether the limit changed."""
         before = self._record.limit
         is_new = before is None and self._ended_at is None
         has_changed = False
@@ -154,18 +157,18 @@
             if claim.limit is not None:
                 self.named_at = now
         elif is_new and claim.limit is not None:
-            # The owner before this one told it.
+            # It was reported by the previous owner.
             has_changed = self._record.learn(claim.limit, NO_BASIS)
         if has_changed:
             self._pace(now)
         if has_changed and before is None:
-            # Instances count their sends anew each time that a limit begins.
+            # Instances restart their count of sends whenever a limit begins.
             self._spent.clear()
         self._charge_spent(claim, now)
         return has_changed
 
     def _pace(self, now: float) -> None:
-        """Go on at another limit, with as many sends given out in advance."""
+        """Switch to a new limit; keep the number of sends granted ahead."""
         limit = self._record.limit
         self._ended_at = now if limit is None else None
         ahead = max(0.0, self._next_at - now) / self._gap if self._gap else 0.0
@@ -173,14 +176,14 @@
         self._next_at = now + min(MOST_DEBT, ahead * self._gap)
 
     def _charge_spent(self, claim: Claim, now: float) -> None:
-        """Take off what was sent without a grant since the last telling."""
+        """Deduct the sends made without a grant since the last report."""
         spent = claim.spent - self._spent.get(claim.process, 0)
         self._spent[claim.process] = claim.spent
         if self.limit is not None and spent > 0:
             self.charge(spent, now)
 
     def charge(self, count: int, now: float) -> None:
-        """Take sends off what is given out next."""
+        """Deduct a number of sends from later grants."""
         behind = max(self._next_at, now) + count * self._gap / GIVEN_PART
         most = max(MOST_DEBT, BURST * self._gap)
         self._next_at = max(self._next_at, min(behind, now + most))
@@ -188,10 +191,10 @@
     def give(
         self, asker: str, number: int, patience: float, part: float, now: float
     ) -> Grant:
-        """Give a send out that may begin within ``patience`` seconds.
+        """Grant a send that may begin within ``patience`` seconds.
 
-        The same ask, which comes again where its answer was lost, is given
-        the same send.
+        A request that is repeated because its answer was lost is granted the
+        same send.
         """
         known = self._given.get((asker, number))
         if known is not None:
@@ -218,10 +221,10 @@
 
 
 class Floor:
-    """The sends of an instance that hears no owner, at one endpoint.
+    """The sends to one endpoint by an instance that reaches no owner.
 
-    All such instances share a part of the limit equally. ``phase``, from 0 to
-    1, spreads their first sends, so that they do not all come at once.
+    All such instances share a fraction of the limit equally. ``phase``, from 0
+    to 1, spreads their first sends, so that they do not all come at once.
     """
 
     def __init__(self, phase: float, now: float) -> None:
@@ -230,7 +233,7 @@
         self._sent_at: float | None = None
 
     def take(self, limit: float, instances: int, now: float) -> bool:
-        """Take a send, if one is due."""
+        """Consume a send if one is due; return whether it was."""
         period = max(1, instances) / (FLOOR_PART * limit)
         due = self._began_at + self._phase * period
         if self._sent_at is not None:
--- a/roadlift/decisions/placement.py
+++ b/roadlift/decisions/placement.py
@@ -1,10 +1,10 @@
 """Choose the engine of a call by when its first event is expected.
 
-Load pattern: prompts of very different length, more adapters in use than one
-engine has places for, and loads that cost time and money. Everything that a
-call would wait for at an engine is put into seconds and compared: the prompts
-ahead, its own prompt at the engine's speed, the load of its adapter, and a
-place for it.
+Load pattern: prompts of very different lengths, more adapters in use than one
+engine has slots for, and loads that cost time and money. Everything that a
+call would wait for at an engine is converted to seconds and compared: the
+prompts ahead of it, reading (prefill) of its own prompt at the engine's speed,
+the load of its adapter, and a free adapter slot.
 """
 
 from collections.abc import Iterable
@@ -14,34 +14,38 @@
 from roadlift.decisions.reading import ReadingTimes
 from roadlift.serving.directory import Endpoint
 
-# Seconds of waiting that a load from the weight store is as dear as, beside
-# the time that it takes: it is paid for.
+# Cost of a load from the weight store in seconds, in addition to the time that
+# it takes: the transfer is paid for.
 STORE_PRICE = 0.35
-# Seconds that a call's and its answer's bytes between zones are as dear as.
+# Cost of transferring a call and its answer between zones, in seconds.
 ZONE_PRICE = 0.04
-# Seconds for each rank of an engine among the homes of an adapter that no
-# engine has: instances that ask at the same moment choose the same one.
+# Cost in seconds for each rank among the preferred endpoints of an adapter
+# that no engine has, so that instances that request it at the same moment
+# choose the same engine.
 RANK_PRICE = 0.02
 
 
-# Seconds that a call, and a load, is dearer at an engine that names a limit:
-# others that have room go first, and get copies of what it holds.
+# Additional cost in seconds of a call, and of a load, at a rate-limited
+# engine: others with free capacity are preferred, and get copies of what it
+# holds.
 SPARED_PRICE = 0.1
 SPARED_LOAD_PRICE = 1.0
-# Seconds that an engine's last place is as dear as; of several that are free,
-# each is as much cheaper. A copy takes it for as long as calls run on it.
+# Cost of an engine's last free slot in seconds; if several are free, it is
+# divided by their number. A copy occupies its slot for as long as calls run on
+# it.
 PLACE_PRICE = 0.25
 
 
 class Engine(NamedTuple):
     """What an instance knows of an engine, for one call.
 
-    ``ahead`` are the prompt tokens to be read there before the call's;
-    ``places`` how many further adapters can be loaded now, negative where
-    others wait; ``source`` where the call's adapter is; ``rank`` the engine's
-    among the adapter's homes; ``queue`` seconds until a further load begins;
-    ``wait`` until a send is free where it names a limit; one that
-    ``is_spared`` is in need.
+    ``ahead`` is the number of prompt tokens to be read there before the
+    call's; ``free_slots`` how many further adapters can be loaded now,
+    negative if others wait; ``source`` where the call's adapter is; ``rank``
+    the engine's rank among the adapter's preferred endpoints; ``queue`` the
+    seconds until a further load begins; ``wait`` the seconds until a send is
+    available if the engine is rate-limited; one that ``is_reserved`` is
+    rate-limited and kept in reserve.
     """
 
     endpoint: Endpoint
@@ -56,7 +60,7 @@
 
 
 class Need(NamedTuple):
-    """What a call needs: prompt tokens to be read, in a zone."""
+    """What a call requires: prompt tokens to be read, near a zone."""
 
     tokens: int
     zone: str
@@ -65,7 +69,7 @@
 class Option(NamedTuple):
     """An engine for a call, and the seconds until the first event there.
 
-    ``cost`` adds what the choice costs beside the time.
+    ``cost`` is that time plus the other costs of the choice.
     """
 
     engine: Engine
@@ -76,7 +80,7 @@
 def weigh(
     need: Need, engine: Engine, reading: ReadingTimes, waits: LoadWaits, now: float
 ) -> Option:
-    """Return when a call's first event is expected at an engine."""
+    """Return an engine with the expected wait and cost of a call."""
     pace = reading.estimate(engine.endpoint.id, now)
     delay = waits.estimate(engine.source, now)
     price = STORE_PRICE if engine.source is Source.STORE else 0.0
--- a/roadlift/decisions/rates.py
+++ b/roadlift/decisions/rates.py
@@ -1,10 +1,10 @@
-"""Fading means: amounts a second of late, and what is under way of late."""
+"""Exponentially decaying means of rates and of levels."""
 
 import math
 
 
 class Rate:
-    """A fading mean of amounts a second; ``span`` is in seconds."""
+    """A decaying mean of amounts a second; ``window`` is in seconds."""
 
     __slots__ = ("_noted_at", "_span", "_total")
 
@@ -19,13 +19,13 @@
         self._noted_at = now
 
     def measure(self, now: float) -> float:
-        """Return the amount a second of late."""
+        """Return the recent amount a second."""
         fade = math.exp((self._noted_at - now) / self._span)
         return self._total * fade / self._span
 
 
 class Level:
-    """A fading mean of a count that goes up and down."""
+    """A decaying mean of a count that goes up and down."""
 
     __slots__ = ("_count", "_mean", "_noted_at", "_span")
 
@@ -36,12 +36,12 @@
         self._noted_at = now
 
     def change(self, count: int, now: float) -> None:
-        """Count what begins, or, below 0, ends."""
+        """Add to the count, or subtract from it if ``count`` is negative."""
         self._mean = self.measure(now)
         self._noted_at = now
         self._count += count
 
     def measure(self, now: float) -> float:
-        """Return the mean of late."""
+        """Return the recent mean."""
         fade = math.exp((self._noted_at - now) / self._span)
         return self._count + (self._mean - self._count) * fade
--- a/roadlift/decisions/reading.py
+++ b/roadlift/decisions/reading.py
@@ -1,30 +1,31 @@
-"""Learn how long engines take to read prompts.
+"""Estimate how long engines take to read (prefill) prompts.
 
-Load pattern: prompts from some hundred to tens of thousands of tokens reach
-engines that read them one after the other. The calls ahead tell little of how
-long a further one waits there; the tokens ahead tell it.
+Load pattern: prompts from some hundreds to tens of thousands of tokens reach
+engines that read them one after the other. The number of calls ahead says
+little about how long a further one waits there; the number of tokens ahead
+does.
 """
 
 import math
 from collections.abc import Collection
 
-# Seconds a prompt token before anything was observed: of the order in which
-# one current accelerator reads prompts of a large model. A start that is wrong
-# by three times is right after a few calls.
+# Seconds a prompt token before the first sample: the order of magnitude at
+# which one current accelerator reads prompts of a large model. An initial
+# value that is wrong by a factor of three is corrected after a few calls.
 FIRST_GUESS = 30e-6
-# Tokens from which on a call's time to its first event tells how fast its
-# engine reads: below, the fixed parts of a call outweigh the reading.
+# Tokens from which a call's time to its first event shows how fast its engine
+# reads: below, the fixed costs of a call outweigh the reading.
 LEAST_TOKENS = 1000
 HALF_LIFE = 5.0  # Seconds in which a sample loses half its weight.
 # Weight, in samples, of the service's mean in the estimate of one engine.
 SHARED_WEIGHT = 2.0
-# Bounds of one sample against the estimate: a call that waited for what is not
-# known here must not make its engine look slow for long.
+# Largest factor between a sample and the estimate: a call that waited for
+# something not modelled here must not make its engine look slow for long.
 MOST_STEP = 3.0
 
 
 class _Mean:
-    """An ageing mean of samples."""
+    """A decaying mean of samples."""
 
     __slots__ = ("noted_at", "total", "weight")
 
@@ -34,14 +35,14 @@
         self.weight = 0.0
 
     def note(self, value: float, now: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         fade = math.exp2((self.noted_at - now) / HALF_LIFE)
         self.total = self.total * fade + value
         self.weight = self.weight * fade + 1.0
         self.noted_at = now
 
     def measure_weight(self, now: float) -> float:
-        """Return the weight that the samples have now."""
+        """Return the current weight of the samples."""
         return self.weight * math.exp2((self.noted_at - now) / HALF_LIFE)
 
     def measure_mean(self) -> float:
@@ -57,9 +58,9 @@
         self._all = _Mean()
 
     def note(self, endpoint: str, tokens: float, seconds: float, now: float) -> None:
-        """Learn when a call's first event came.
+        """Record the time of a call's first event.
 
-        ``tokens`` are its own and those that were ahead of it.
+        ``tokens`` is the number of its own tokens and those ahead of it.
         """
         if tokens < LEAST_TOKENS:
             return
@@ -79,6 +80,6 @@
         return total / (weight + SHARED_WEIGHT)
 
     def forget(self, known: Collection[str]) -> None:
-        """Drop the engines that are gone."""
+        """Drop the engines that no longer exist."""
         for endpoint in set(self._engines) - set(known):
             del self._engines[endpoint]
--- a/roadlift/decisions/resending.py
+++ b/roadlift/decisions/resending.py
@@ -1,12 +1,13 @@
 """Decide whether a call whose send failed is sent again.
 
-Load pattern: an endpoint, or all of them, fail a part of their calls, and
-paths are cut. What did not run may be sent again wherever time is left; what
-may have run only if the call may run twice. Each further send of what was
-served takes a slot from a first one: of plain calls that failed at one
-endpoint, a quarter succeeded at another where errors went with the call, so
-they are sent again only while slots are to spare. The budget of the service
-is asked last, as asking spends it.
+Load pattern: an endpoint, or all of them, fail some of their calls, and
+network paths are cut. A call that did not run may be sent again as long as
+time is left; one that may have run, only if it may run twice. Each further
+send of a call that was served takes a slot from a first one. In runs in which
+errors depended on the call, a quarter of the plain calls that failed at one
+endpoint succeeded at another, so they are sent again only while there are
+spare slots. The retry budget of the service is checked last, because checking
+it spends it.
 """
 
 from collections.abc import Callable
@@ -15,21 +16,21 @@
 from roadlift.core.errors import EndpointUnreachable, Outcome, RoadliftError
 from roadlift.serving.routes import Route
 
-# Sends of one call at most, those included that did not run.
+# Maximum sends of one call, including those that did not run.
 MOST_SENDS = 4
-# Sends that reached no endpoint, beside those: a cut takes most of a service's
-# endpoints away, and each instance learns of them one by one.
+# Maximum further sends that reached no endpoint: a network cut removes most of
+# a service's endpoints, and each instance notices them one by one.
 MOST_UNREACHED = 8
-# Seconds of a call's time below which no further send is begun.
+# Seconds that must be left of a call's time to begin a further send.
 LEAST_TIME = 0.02
 
 
 class Sends(NamedTuple):
-    """What became of the sends of a call so far.
+    """The outcome of the sends of a call so far.
 
-    ``unreached`` reached no endpoint, the last one included, ``runs`` may
-    have run; ``time_left`` is in seconds; an answer that ``has_begun`` can't
-    be gone on with by another send.
+    ``unreached`` sends reached no endpoint, including the last one; ``runs``
+    of them may have run; ``time_left`` is in seconds. An answer that
+    ``has_begun`` can't be continued by another send.
     """
 
     count: int
@@ -46,11 +47,11 @@
     has_spare_slot: Callable[[], bool],
     spend_budget: Callable[[], bool],
 ) -> str | None:
-    """Return why a call is not sent again behind an error, or None."""
+    """Return why a call is not sent again after an error, or None."""
     if sends.time_left < LEAST_TIME:
         return "no time left"
     if isinstance(error, EndpointUnreachable):
-        # Nothing arrived there, so no budget is spent on the next send.
+        # Nothing arrived there, so the next send spends no budget.
         return "unreached too often" if sends.unreached > MOST_UNREACHED else None
     if sends.count - sends.unreached >= MOST_SENDS:
         return "sent too often"
--- a/roadlift/decisions/silence.py
+++ b/roadlift/decisions/silence.py
@@ -1,23 +1,24 @@
-"""Notice engines that went silent while they generate.
+"""Detect engines that stopped responding while they generate.
 
-Load pattern: an engine goes dark, or a path is cut, without any connection
-being reset. Streams that are generating hear an event every few steps, so that
-an engine from which none of them hears anything is left long before its
-callers give up, and before TCP does.
+Load pattern: an engine fails, or a network path is cut, without any connection
+being reset. Streams that are generating receive an event every few steps. An
+engine from which none of them receives anything is therefore abandoned long
+before its callers time out, and before TCP does.
 """
 
 from collections.abc import Callable
 
-# Seconds without a byte on any generating stream of an engine behind which it
-# is left: some ten times the longest usual time between two events.
+# Seconds without a byte on any generating stream of an engine after which it
+# is abandoned: about ten times the longest usual time between two events.
 SILENCE = 0.6
-# Seconds between two looks beyond which this process itself stood still: what
-# was not read meanwhile says nothing of engines.
+# Longest time between two checks, in seconds. If it was longer, this process
+# itself was suspended, and bytes that it did not read say nothing about
+# engines.
 MOST_GAP = 0.3
 
 
 class _Watched:
-    """The calls of this process at one engine, and when it was heard last."""
+    """This process's calls at an engine, and when it last responded."""
 
     __slots__ = ("calls", "generating", "heard_at")
 
@@ -28,7 +29,7 @@
 
 
 class SilenceWatch:
-    """The calls of this process at engines, to notice which went silent."""
+    """The calls of this process at engines, to detect unresponsive engines."""
 
     def __init__(self, silence: float = SILENCE) -> None:
         self._silence = silence
@@ -38,19 +39,19 @@
     def begin(
         self, endpoint: str, call: object, on_silent: Callable[[], None], now: float
     ) -> None:
-        """Watch a call that was sent; ``on_silent`` lets it leave."""
+        """Monitor a call that was sent; ``on_unresponsive`` makes it leave."""
         watched = self._engines.setdefault(endpoint, _Watched(now))
         watched.calls[call] = on_silent
 
     def note_event(self, endpoint: str, call: object, now: float) -> None:
-        """Learn of an event of a call, which generates from now on."""
+        """Record an event of a call, which generates from now on."""
         watched = self._engines.get(endpoint)
         if watched is not None:
             watched.generating.add(call)
             watched.heard_at = now
 
     def end(self, endpoint: str, call: object) -> None:
-        """Watch a call no more."""
+        """Stop monitoring a call."""
         watched = self._engines.get(endpoint)
         if watched is None:
             return
@@ -60,7 +61,7 @@
             del self._engines[endpoint]
 
     def find_silent(self, now: float) -> list[str]:
-        """Return the engines that went silent while they generate."""
+        """Return the engines that stopped responding while they generate."""
         last, self._looked_at = self._looked_at, now
         if last is None or now - last > MOST_GAP:
             for watched in self._engines.values():
@@ -73,7 +74,7 @@
         ]
 
     def leave(self, endpoint: str) -> None:
-        """Let all calls leave an engine."""
+        """Make all calls leave an engine."""
         watched = self._engines.get(endpoint)
         if watched is not None:
             for on_silent in list(watched.calls.values()):
--- a/roadlift/decisions/sources.py
+++ b/roadlift/decisions/sources.py
@@ -1,34 +1,38 @@
-"""Choose the aggregator from which an instance hears what owners tell.
-
-Load pattern: hundreds of instances, and a few owners that each tell all that
-changes at their engines. Were each instance told by each owner, the messages
-would grow with their product. So an instance hears one aggregator, of its own
-zone while that lives and reads the store. Another is asked now and then
-whether it lives, so that its place is taken within some tenths of a second;
-the others are spread by each instance's own order of preference.
+"""Choose the aggregator from which an instance receives owners' updates.
+
+Load pattern: hundreds of instances, and a few owners that each publish all
+changes at their engines. If each owner sent to each instance, the number of
+messages would grow with their product. Therefore an instance receives the
+updates of one aggregator, that of its local zone as long as it is alive and
+reads the store. A second one is probed occasionally, so that it can take over
+within some tenths of a second; which further ones are used is spread by each
+instance's own order of preference.
 """
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-# Seconds without an answer behind which the aggregator that is heard is left:
-# two heartbeats of 0.25 s.
+# Seconds without a reply after which the current aggregator is left: two
+# heartbeats of 0.25 s, with margin.
 SOURCE_LIMIT = 0.65
-# The same for one that is only asked whether it lives, each second.
+# The same for one that is only probed, once a second.
 STANDBY_LIMIT = 1.7
-# Seconds behind an aggregator's read of the list of endpoints until which it
-# stands: two periods of reading. Behind it another's is used.
+# Age in seconds at which an aggregator's list of endpoints expires: two read
+# intervals after its last read. Then another aggregator is used.
 LIST_LIMIT = 1.4
-# Seconds until one that never answered is left: both ways are opened first,
-# by an aggregator that hears of all its subscribers at once when all start.
-# With 0.65 each instance went through 4.5 aggregators in the first 3 seconds.
+# Seconds until an aggregator that never replied is left: connections are first
+# opened both ways, by an aggregator that all its subscribers contact at once
+# when all start. With 0.65 each instance went through 4.5 aggregators in the
+# first 3 seconds.
 FIRST_LIMIT = 1.0
-# Seconds by which another's list must be newer where the one that is heard is
-# old: where the store is away from all, nobody's is, and none is changed for.
+# Seconds by which another aggregator's list must be newer if the current one's
+# is old: while nobody can reach the store, no list is newer, and the instance
+# does not switch.
 NEWER_LIST = 0.5
-RETRY_PERIOD = 3.0  # Seconds until one that did not answer is tried again.
-# Seconds until one that was left is heard again, though it answers: each
-# change costs a snapshot of all that engines hold.
+# Seconds until an aggregator that did not reply is tried again.
+RETRY_PERIOD = 3.0
+# Seconds until an aggregator that was left is used again, although it replies:
+# each switch costs a snapshot of all that engines hold.
 RETURN_PERIOD = 1.5
 
 
@@ -43,7 +47,7 @@
 class Candidate(NamedTuple):
     """An aggregator, by the zone that it owns, with the age of its list.
 
-    ``list_age`` is in seconds, as other aggregators told it.
+    ``list_age`` is in seconds, as reported by other aggregators.
     """
 
     zone: str
@@ -52,9 +56,9 @@
 
 
 class Sources:
-    """The aggregators as one instance hears them; ``order`` are the zones.
+    """The aggregators as known to one instance; ``order`` lists the zones.
 
-    The first zone is the instance's own.
+    The first zone is the instance's local zone.
     """
 
     def __init__(self, order: Sequence[str]) -> None:
@@ -68,16 +72,16 @@
     def note_reply(
         self, address: str, asked_at: float, list_age: float, is_serving: bool
     ) -> None:
-        """Learn from the reply to what an aggregator was sent at a time."""
+        """Record the reply to a message that was sent at ``asked_at``."""
         known = self._heard.get(address)
         if known is None or asked_at >= known.asked_at:
             heard = _Heard(asked_at, asked_at - list_age, is_serving)
             self._heard[address] = heard
 
     def choose(self, candidates: Mapping[str, Candidate], now: float) -> str:
-        """Return the address of the aggregator to hear, or empty.
+        """Return the address of the aggregator to receive from, or empty.
 
-        ``candidates`` are the owners that are known, by zone.
+        ``candidates`` are the known owners, by zone.
         """
         self._forget({one.address for one in candidates.values()})
         home = candidates.get(self._home)
@@ -96,17 +100,17 @@
         return address
 
     def list_others(self, candidates: Mapping[str, Candidate]) -> list[str]:
-        """Return whom to ask whether they live: the own zone's, a standby."""
+        """Return the aggregators to probe: the local zone's and a standby."""
         ordered = sorted(candidates.values(), key=lambda one: self._ranks[one.zone])
         addresses = dict.fromkeys(one.address for one in ordered)
         return [one for one in list(addresses)[:2] if one != self.current]
 
     def is_alive(self, now: float) -> bool:
-        """Tell whether the chosen aggregator answers."""
+        """Return whether the chosen aggregator replies."""
         return self._is_alive(self.current, now)
 
     def _forget(self, addresses: set[str]) -> None:
-        """Drop the aggregators that own no zone any more."""
+        """Drop the aggregators that no longer own a zone."""
         for known in (self._heard, self._tried_at, self._left_at):
             for gone in set(known) - addresses:
                 del known[gone]
@@ -117,7 +121,7 @@
         return heard is not None and heard.is_serving and now - heard.asked_at < limit
 
     def _has_new_list(self, address: str, now: float) -> bool:
-        """Tell whether a list is new, or newer than the one that is heard."""
+        """Return whether a list is recent, or newer than the current one's."""
         list_at = self._heard[address].list_at
         if now - list_at < LIST_LIMIT:
             return True
@@ -125,7 +129,7 @@
         return current is not None and list_at > current.list_at + NEWER_LIST
 
     def _rank(self, one: Candidate, is_home_alive: bool, now: float) -> int:
-        """Return how good a choice is; the least is the best."""
+        """Return the rank of a choice; the smallest is the best."""
         is_current = one.address == self.current
         is_alive = self._is_alive(one.address, now)
         left_at = self._left_at.get(one.address, float("-inf"))
--- a/roadlift/decisions/spread.py
+++ b/roadlift/decisions/spread.py
@@ -1,19 +1,20 @@
-"""Spread the calls of a plain service, and turn away what it can't run.
+"""Balance the calls of a plain service, and refuse what it can't run.
 
 Load pattern: tens of instances send short calls to a few endpoints. An
-instance has no call under way most of the time, so its own calls tell it
-nothing; each prefers its own zone, as bytes between zones are dear, and the
-zone with most callers and fewest endpoints queues and refuses while others
-stand idle. So instances tell how many calls they have under way, as fading
-means, and sums by zone are told back to all: each then knows what its zone
-asks for and what room the others have, and sends abroad just what is too much
-at home. What is 0.5 s old can be gone by, as sums of means change slowly; each
-call draws its zone, so that not all choose the same.
-
-Where more is asked for than can run, the endpoints' queues fill, and what is
-served is late: half of it at 1.2 times what can run. What is let in is then
-bounded by what was served of late, less what is queued too much already; the
-rest is refused at once, as not run.
+instance has no call in progress most of the time, so its own calls say nothing
+about the load. Each prefers its local zone, because traffic between zones is
+expensive; without balancing, the zone with most callers and fewest endpoints
+queues and refuses while others are idle. Therefore instances report how many
+calls they have in progress, as decaying means, and the sums by zone are sent
+back to all. Each instance then knows the demand of its zone and the free
+capacity of the others, and sends to remote zones only what exceeds the local
+capacity. A sum of means changes slowly enough to be used for 0.5 s. Each call
+samples its zone at random, so that not all choose the same one.
+
+If the demand exceeds the capacity, the endpoints' queues fill and calls are
+served late: half of them at 1.2 times the capacity. The admitted rate is then
+bounded by the rate served recently, less the excess in the queues; the rest is
+refused at once, as not run.
 """
 
 import random
@@ -23,36 +24,36 @@
 from roadlift.decisions.rates import Level, Rate
 from roadlift.serving.directory import Endpoint
 
-# Seconds over which calls under way and rates are taken: some calls at each
-# slot; a burst is followed within the second.
+# Window in seconds of the means of calls in progress and of rates: some calls
+# for each slot; a burst is followed within the second.
 SPAN = 0.4
-# Part of a zone's slots that its own calls may keep busy before any are sent
-# abroad; the rest is for bursts within the span.
+# Fraction of a zone's slots that its own calls may keep busy before any are
+# sent to remote zones; the rest is for bursts within the window.
 KEPT_PART = 0.6
-# Part of a call's objective that the calls before it may take, waiting and
-# running, by how many are under way and served a second; the rest is for what
-# differs between endpoints and calls.
+# Fraction of a call's objective that the calls before it may take, waiting and
+# running, by how many are in progress and served a second; the rest allows for
+# differences between endpoints and between calls.
 FULL_PART = 0.6
-# Calls under way for each slot up to which a call that failed is sent again:
-# beyond that, a second try takes the slot of a first one.
+# Calls in progress for each slot up to which a failed call is sent again:
+# beyond that, a second attempt takes the slot of a first one.
 SPARE_FILL = 0.8
-# Seconds in which what is queued beyond that is to be gone.
+# Seconds in which the excess in the queues is to be worked off.
 SETTLE = 0.5
-# Seconds behind the last news in which they stand.
+# Seconds after which received loads are no longer used.
 NEWS_LIMIT = 1.2
-# Seconds until a caller that was refused comes back, at least.
+# Shortest time until a refused caller comes back, in seconds.
 LEAST_RETURN = 0.15
 
 
 class ServiceLoad(NamedTuple):
-    """Calls under way, and calls asked for and served a second."""
+    """Calls in progress, and calls requested and served a second."""
 
     busy: float
     asked: float
     served: float
 
     def add(self, other: "ServiceLoad") -> "ServiceLoad":
-        """Return the sum of two."""
+        """Return the sum of two loads."""
         return ServiceLoad(*(one + two for one, two in zip(self, other, strict=True)))
 
 
@@ -68,11 +69,11 @@
         self._served = Rate(SPAN, now)
 
     def note_asked(self, now: float) -> None:
-        """Count a call that came, whatever becomes of it."""
+        """Count a call that arrived, whatever its outcome."""
         self._asked.note(1.0, now)
 
     def begin(self, now: float) -> None:
-        """Count a send that is under way."""
+        """Count a send that is in progress."""
         self._busy.change(1, now)
 
     def end(self, has_run: bool, now: float) -> None:
@@ -82,7 +83,7 @@
             self._served.note(1.0, now)
 
     def measure(self, now: float) -> ServiceLoad:
-        """Return the load of late."""
+        """Return the recent load."""
         return ServiceLoad(
             self._busy.measure(now),
             self._asked.measure(now),
@@ -93,10 +94,10 @@
 def share_out(
     home: str, busy: Mapping[str, float], slots: Mapping[str, float]
 ) -> dict[str, float]:
-    """Return the part of a zone's calls that goes to each zone.
+    """Return the fraction of a zone's calls that goes to each zone.
 
-    ``busy`` are the calls under way of each zone's instances, ``slots`` what
-    each zone's endpoints run at once.
+    ``busy`` is the number of calls in progress of each zone's instances,
+    ``slots`` the number that each zone's endpoints run at once.
     """
     total = sum(slots.values())
     level = max(KEPT_PART, sum(busy.values()) / total)
@@ -118,9 +119,9 @@
 
 
 def measure_part(load: ServiceLoad, slots: float, objective: float) -> float:
-    """Return the part of the calls that can be let in.
+    """Return the fraction of the calls that can be admitted.
 
-    While fewer calls are under way than there are slots, that is all.
+    It is 1 while fewer calls are in progress than there are slots.
     """
     excess = load.busy - max(slots, FULL_PART * objective * load.served)
     if excess <= 0 or not load.asked:
@@ -129,7 +130,7 @@
 
 
 class ServiceSpread:
-    """What one instance knows of the calls to plain services."""
+    """The load of plain services as known to one instance."""
 
     def __init__(self, home: str, rng: random.Random) -> None:
         self._home = home
@@ -140,7 +141,7 @@
     def note_news(
         self, loads: Mapping[str, Mapping[str, ServiceLoad]], now: float
     ) -> None:
-        """Learn the loads by service and zone of the instances."""
+        """Replace the loads, by service and by zone of the instances."""
         self._loads = loads
         self._heard_at = now
 
@@ -151,7 +152,7 @@
     def choose_zone(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> str | None:
-        """Return the zone for a call, or None where too little is known."""
+        """Return the zone for a call, or None if too little is known."""
         loads = self._find(service, now)
         slots: dict[str, float] = {}
         for one in endpoints:
@@ -165,7 +166,7 @@
     def measure_fill(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> float:
-        """Return the calls under way for each slot, 0 if nothing is known."""
+        """Return the calls in progress for each slot; 0 if unknown."""
         slots = sum(max(1, one.slots) for one in endpoints)
         busy = sum(load.busy for load in self._find(service, now).values())
         return busy / slots if slots else 0.0
@@ -177,10 +178,10 @@
         objective: float,
         now: float,
     ) -> float | None:
-        """Return when a call may come back that there is no room for, or None.
+        """Return in how many seconds a refused call may come back, or None.
 
-        ``objective`` is the call's, in seconds. It comes back behind what is
-        queued by now, each caller a little later than another.
+        ``objective`` is the call's, in seconds. The call comes back after what
+        is queued now, each caller a little later than another.
         """
         total = NO_LOAD
         for load in self._find(service, now).values():
--- a/roadlift/decisions/standing.py
+++ b/roadlift/decisions/standing.py
@@ -1,32 +1,36 @@
-"""Decide whether calls may go to an endpoint, by what it said of itself.
+"""Decide whether calls may go to an endpoint, from what it announced.
 
-Load pattern: endpoints that end soon, while the list can't say so, and
-endpoints that turn callers away and ask each for some seconds without calls.
-One that leaves is left for good; calls that no other can take still go there
-for a while, as it goes on to serve them. One that wants rest gets nothing for
-as long, and then a slow start: a single call, and one more at once for each
-that is not turned away. A herd at the end would only earn the next rest.
+Load pattern: endpoints that shut down soon, before the list can show it, and
+endpoints that reject callers and request that each sends nothing for some
+seconds (back-off). An endpoint with a drain notice gets no further calls,
+except that calls which no other endpoint can run still go there for a while,
+as it continues to serve them. One that requested a back-off gets nothing for
+that time, and then a slow start: a single call at once, and one more for each
+call that is not rejected. If all callers came back at once when the back-off
+ends, the endpoint would only request the next one.
 """
 
-# Part of the time for which a leaving endpoint takes calls in which it gets
-# those that no other can take: the rest of it is for their runs, and for what
-# it told others before.
+# Fraction of the time for which a draining endpoint accepts calls in which it
+# gets those that no other can run: the rest of it is for their runs, and for
+# the time since other instances received its drain notice.
 LAST_RESORT_PART = 0.5
-# Seconds without a refusal behind which a call counts as taken: an endpoint
-# turns calls away at once.
+# Seconds without a rejection after which a call counts as accepted: an
+# endpoint rejects calls at once.
 TRIAL = 0.25
-MOST_TRIALS = 16  # Calls at once behind a rest at which its slow start is over.
-# Part of a rest, and seconds at most, by which an instance rests longer, so
-# that not all come back at the same moment.
+# Calls at once after a back-off at which its slow start is over.
+MOST_TRIALS = 16
+# Jitter of a back-off, as a fraction of it and in seconds at most: an instance
+# extends its back-off by up to this, so that not all come back at the same
+# moment.
 SPREAD_PART = 0.25
 MOST_SPREAD = 1.0
-# Seconds that a rest counts for at most: one call an hour tells if more is
-# wanted, where the endpoint's number can't have been meant.
+# Longest back-off in seconds: if the endpoint announced an implausible number,
+# one call an hour shows whether it still requests a back-off.
 MOST_REST = 3600.0
 
 
 class Standing:
-    """What one start of an endpoint said of itself to this instance."""
+    """What one run of an endpoint announced to this instance."""
 
     def __init__(self) -> None:
         self.left_at: float | None = None
@@ -35,16 +39,16 @@
         self._trials: list[float] = []  # Times of sends without an answer yet.
 
     def note_leaving(self, now: float) -> bool:
-        """Learn that it leaves; tell whether that is new."""
+        """Record a drain notice; return whether it is the first."""
         is_new = self.left_at is None
         if is_new:
             self.left_at = now
         return is_new
 
     def note_rest(self, seconds: float, draw: float, now: float) -> bool:
-        """Learn that it wants rest; tell whether it rests longer now.
+        """Record a requested back-off; return whether it ends later now.
 
-        ``draw``, from 0 to 1, is this instance's own.
+        ``draw``, from 0 to 1, is this instance's random number for the jitter.
         """
         seconds = min(MOST_REST, seconds)
         until = now + seconds + draw * min(MOST_SPREAD, SPREAD_PART * seconds)
@@ -55,14 +59,14 @@
         return is_longer
 
     def note_send(self, now: float) -> None:
-        """Count a send: those behind a rest are trials."""
+        """Count a send; during a slow start it is a trial."""
         if self._most_trials < MOST_TRIALS:
             self._trials.append(now)
 
     def note_taken(self, sent_at: float) -> None:
-        """Learn that a call sent at a time was not turned away.
+        """Record that a call sent at a time was not rejected.
 
-        One that was there before the rest says nothing of it.
+        A call that was sent before the back-off says nothing about it.
         """
         if sent_at >= self.rest_until and self._trials:
             self._trials.pop(0)
@@ -79,15 +83,16 @@
         return self._trials[0] + TRIAL - now
 
     def is_last_resort(self, drain: float, now: float) -> bool:
-        """Tell whether it leaves, and still takes what no other can.
+        """Return whether it drains and still accepts what no other can run.
 
-        ``drain`` is the seconds for which a leaving endpoint takes calls.
+        ``drain`` is the number of seconds for which a draining endpoint
+        accepts calls.
         """
         if self.left_at is None:
             return False
         return now - self.left_at < LAST_RESORT_PART * drain
 
     def may_send(self, drain: float, now: float) -> bool:
-        """Tell whether a call that was placed there may still go."""
+        """Return whether a call that was placed there may still be sent."""
         is_left = self.left_at is not None and not self.is_last_resort(drain, now)
         return now >= self.rest_until and not is_left
--- a/roadlift/decisions/urgency.py
+++ b/roadlift/decisions/urgency.py
@@ -1,31 +1,32 @@
-"""Order the adapters that wait for a place at an engine.
+"""Order the adapters that wait for a slot at an engine.
 
-Load pattern: more adapters are wanted than an engine has places for, as when
-engines are lost in a burst. By age alone, every call would be served late: so
-those that can still be in time go first, and among them those that are due
-first and hold the place briefly.
+Load pattern: more adapters are requested than an engine has slots, for example
+after a burst of engine failures. In order of age, every call would be served
+late. Therefore adapters that can still be in time are loaded first, and of
+these the ones that are due first and occupy the slot briefly.
 """
 
 import math
 from typing import NamedTuple
 
-# Seconds by which a want of the next lower priority stands behind one that is
-# due at the same time.
+# Seconds by which a load request of the next lower priority ranks after one
+# that is due at the same time.
 PRIORITY_STEP = 0.05
-# Seconds by which a want stands behind for each second that its calls hold the
-# place: the same place serves more calls that are short. On ten days of load
-# over the engines' places 0.02 more of the callers' payoff than by age.
+# Seconds by which a load request ranks later for each second that its calls
+# occupy the slot: the same slot serves more short calls than long ones. On ten
+# days of load above the engines' slots this gave 0.02 more of the callers'
+# payoff than an order by age.
 HOLD_STEP = 0.5
 
 
 class Urgency(NamedTuple):
     """How urgent it is to load an adapter.
 
-    ``priority`` 0 is the most urgent; ``slack`` is in how many seconds the
-    load must begin for a call that waits to be served in time, negative where
-    it is too late for all; ``hold`` for how many seconds a place is held for
-    each call that waits; ``limit`` in how many seconds it must begin to serve
-    any of them at all.
+    ``priority`` 0 is the most urgent. ``slack`` is the number of seconds
+    within which the load must begin for a waiting call to be served in time,
+    negative if it is too late for all; ``hold`` the seconds for which a slot
+    is occupied for each waiting call; ``limit`` the seconds within which the
+    load must begin to serve any of them at all.
     """
 
     priority: int
@@ -35,10 +36,11 @@
 
 
 class Want(NamedTuple):
-    """A load that is wanted; all but ``priority`` and ``hold`` are times.
+    """A requested load; all fields but ``priority`` and ``hold`` are times.
 
-    In seconds; behind ``until`` it would serve nobody. ``since`` is when it
-    was first denied, if it was, ``began_at`` when it was first asked for here.
+    In seconds; after ``until`` the load would serve nobody. ``since`` is the
+    time of the first denial, if there was one, ``began_at`` that of the first
+    request here.
     """
 
     priority: int
@@ -49,7 +51,7 @@
     began_at: float = 0.0
 
     def measure_rank(self, now: float) -> tuple[bool, float]:
-        """Return what orders wants; the least goes first."""
+        """Return the sort key of load requests; the smallest goes first."""
         if self.due < now:
             return True, self.since
         behind = PRIORITY_STEP * self.priority + HOLD_STEP * self.hold
@@ -57,7 +59,7 @@
 
 
 def merge_want(known: Want | None, urgency: Urgency, now: float, since: float) -> Want:
-    """Return a want once it was asked for again; one that is new is ``since``.
+    """Return a request merged with a repeated one; a new one is ``since``.
 
     It is due when the last of the calls is, as it serves all that wait then.
     """
--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -1,9 +1,9 @@
-"""Know how loaded engines are, from what owners tell and what was sent since.
+"""Estimate the load of engines from owners' reports and later local sends.
 
-Load pattern: many instances send to the same engines without a common count.
-An owner tells what all of them have there, some tens of milliseconds late;
-what this process has sent or ended since is added, so that it does not send a
-second long prompt behind a first one that nobody has told of yet.
+Load pattern: many instances send to the same engines without a shared counter.
+An owner reports the calls of all instances, some tens of milliseconds late.
+What this process has sent or finished since then is added, so that it does not
+send a second long prompt after a first one that is in no report yet.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,21 +11,22 @@
 
 from roadlift.serving.loads import FIRST_DURATION, measure_queue
 
-# Part by which an engine's calls, or the prompt tokens unread there, must
-# differ from what was told to be told again, and the tokens of that at least.
+# Fraction by which an engine's calls, or its unread prompt tokens, must differ
+# from the last report to be reported again, and the minimum change in tokens.
 TOLD_PART = 0.2
 TOLD_TOKENS = 512
-# Places of an engine of which nothing is told: enough to be asked.
+# Adapter slots of an engine without a report: enough to send a request.
 UNTOLD_PLACES = 1
-TELL_ALL_PERIOD = 2.0  # Seconds between tellings of the loads of all engines.
+TELL_ALL_PERIOD = 2.0  # Seconds between reports of the loads of all engines.
 
 
 class EngineLoad(NamedTuple):
-    """How loaded an engine is: calls, prompt tokens unread, free places.
+    """The load of an engine: calls, unread prompt tokens, free adapter slots.
 
-    ``places`` are those in which adapters can be loaded now; a negative number
-    tells how many wait beyond them. ``loads`` are on their way or waiting,
-    each of which takes ``load_time`` seconds, as its owner saw of late.
+    ``free_slots`` is the number of slots into which adapters can be loaded
+    now; a negative number is how many adapters wait beyond them. ``loads`` are
+    in progress or waiting; each takes ``load_time`` seconds, as recently
+    observed by its owner.
     """
 
     running: int
@@ -35,7 +36,7 @@
     load_time: float = FIRST_DURATION
 
     def differs(self, told: "EngineLoad") -> bool:
-        """Tell whether a subscriber should hear of this load."""
+        """Return whether subscribers should receive this load."""
         calls = abs(self.running - told.running) > TOLD_PART * told.running
         change = abs(self.reading - told.reading)
         tokens = change > max(TOLD_TOKENS, TOLD_PART * told.reading)
@@ -45,16 +46,17 @@
 
 
 class ToldLoads:
-    """The loads of engines as one listener, or a group, was told them."""
+    """The loads of engines as last reported to one or more receivers."""
 
     def __init__(self) -> None:
         self._loads: dict[str, EngineLoad] = {}
         self._all_at = float("-inf")
 
     def list_changed(self, loads: Mapping[str, EngineLoad], now: float) -> list:
-        """Return the loads that differ from what was told, as to be told now.
+        """Return the loads to report: those that differ from the last report.
 
-        All of them each TELL_ALL_PERIOD, as a message may have been dropped.
+        All loads are reported once per FULL_REPORT_INTERVAL, as a message may
+        have been dropped.
         """
         if now - self._all_at >= TELL_ALL_PERIOD:
             self._all_at = now
@@ -69,7 +71,7 @@
 
 
 class _Told(NamedTuple):
-    """A load as a zone's owner told it, and the own part at that time."""
+    """A load as reported by a zone's owner, and the local load then."""
 
     load: EngineLoad
     zone: str
@@ -78,7 +80,7 @@
 
 
 class Workload:
-    """The loads of engines as one process knows them."""
+    """The loads of engines as known to one process."""
 
     def __init__(self) -> None:
         self._told: dict[str, _Told] = {}
@@ -86,7 +88,7 @@
         self._silent_zones: set[str] = set()
 
     def change_reading(self, endpoint: str, tokens: int) -> None:
-        """Count prompt tokens that this process sent, or that were read."""
+        """Add prompt tokens that were sent; negative if they were read."""
         self._reading[endpoint] = max(0, self.count_own_reading(endpoint) + tokens)
 
     def count_own_reading(self, endpoint: str) -> int:
@@ -96,12 +98,12 @@
     def note_told(
         self, endpoint: str, zone: str, load: EngineLoad, own_running: int
     ) -> None:
-        """Learn what an owner tells, while so many own calls run there."""
+        """Record an owner's report, and the local load at that time."""
         own_reading = self.count_own_reading(endpoint)
         self._told[endpoint] = _Told(load, zone, own_running, own_reading)
 
     def pass_over(self, zones: Collection[str]) -> None:
-        """Use nothing that the owners of zones told, as they fell silent."""
+        """Ignore the reports for zones whose owners stopped responding."""
         self._silent_zones = set(zones)
 
     def _find_told(self, endpoint: str) -> _Told | None:
@@ -109,7 +111,7 @@
         return None if told is None or told.zone in self._silent_zones else told
 
     def take_place(self, endpoint: str) -> None:
-        """Count a load that this process asked for, and its place."""
+        """Count a load that this process requested, and its slot."""
         told = self._told.get(endpoint)
         if told is not None:
             load = told.load._replace(
@@ -118,14 +120,14 @@
             self._told[endpoint] = told._replace(load=load)
 
     def deny_place(self, endpoint: str) -> None:
-        """Learn that an engine had no place left."""
+        """Record that an engine had no free slot."""
         told = self._told.get(endpoint)
         if told is not None:
             load = told.load._replace(places=min(told.load.places, 0))
             self._told[endpoint] = told._replace(load=load)
 
     def count_ahead(self, endpoint: str) -> int:
-        """Return about how many prompt tokens are to be read at an engine."""
+        """Return an estimate of the prompt tokens to be read at an engine."""
         own = self.count_own_reading(endpoint)
         told = self._find_told(endpoint)
         if told is None:
@@ -133,14 +135,17 @@
         return max(own, told.load.reading + own - told.own_reading)
 
     def count_running(self, endpoint: str, own: int) -> int:
-        """Return about how many calls run at an engine, ``own`` among them."""
+        """Return an estimate of the calls that run at an engine.
+
+        ``local`` is the number of this process's calls among them.
+        """
         told = self._find_told(endpoint)
         if told is None:
             return own
         return max(own, told.load.running + own - told.own_running)
 
     def count_places(self, endpoint: str) -> int:
-        """Return for how many further adapters an engine has places."""
+        """Return the number of free adapter slots of an engine."""
         told = self._find_told(endpoint)
         return UNTOLD_PLACES if told is None else told.load.places
 
@@ -152,7 +157,7 @@
         return measure_queue(told.load.loads, told.load.load_time)
 
     def forget(self, known: Collection[str]) -> None:
-        """Drop the engines that are gone."""
+        """Drop the engines that no longer exist."""
         for endpoint in (set(self._told) | set(self._reading)) - set(known):
             self._told.pop(endpoint, None)
             self._reading.pop(endpoint, None)
--- a/roadlift/organisations/fleet.py
+++ b/roadlift/organisations/fleet.py
@@ -1,8 +1,8 @@
-"""Add up what a fleet uses of organisations' allowances, at an aggregator.
+"""Add up at an aggregator what a fleet uses of organisations' allowances.
 
-Uses are told as totals, so that a lost message costs nothing. An instance
-that falls silent is taken to use on what it was asked for last. See
-``shares`` for what is made of it.
+Usage is reported as totals, so that a lost message does no harm. An instance
+that stops reporting is assumed to use as much as its last reported demand. See
+``shares`` for how this is used.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -11,16 +11,16 @@
 from roadlift.organisations.shares import FREE_PART, MOST_DEBT, NEWS_LIMIT, Limits
 from roadlift.serving.routes import Allowance
 
-# Amounts a second that are asked for below which a use is told no more: a
-# call that counts as 1 is told of for 8 s. With 1.0, calls that came less than
-# once a second to each instance were never counted.
+# Demand a second below which a usage is no longer reported: a call that counts
+# as 1 is reported for 8 s. With 1.0, calls that arrived less than once a
+# second at each instance were never counted.
 LEAST_DEMAND = 0.01
 
 
 class Use(NamedTuple):
     """What was used of an allowance since a process began.
 
-    ``demand`` is what is asked for, a second.
+    ``demand`` is the amount requested a second.
     """
 
     name: str
@@ -29,11 +29,11 @@
 
 
 class FleetState(NamedTuple):
-    """What an aggregator tells an instance of an organisation.
+    """What an aggregator reports to an instance about an organisation.
 
-    It speaks for a ``part`` of the allowance, of which ``level`` is left,
-    and in which ``demand`` is asked for, a second. ``counted`` is what it
-    has counted of the instance's own use.
+    It speaks for a ``part`` of the allowance, of which ``level`` is left, with
+    a ``demand`` a second. ``counted`` is what it has counted of the instance's
+    own usage.
     """
 
     name: str
@@ -45,7 +45,7 @@
 
 
 class _Teller:
-    """What one instance, or another aggregator, told last."""
+    """The last report of one instance, or of another aggregator."""
 
     __slots__ = ("_presumed_at", "counted", "heard_at", "members", "process", "uses")
 
@@ -58,10 +58,10 @@
         self._presumed_at = now
 
     def take(self, uses: Iterable[Use], is_first: bool, now: float) -> Iterator[Use]:
-        """Keep what was told; yield what was used since the last time.
+        """Apply a report; yield what was used since the last one.
 
-        The first telling is the beginning: others may have counted what was
-        used before it.
+        The first report is the starting point: other aggregators may have
+        counted what was used before it.
         """
         self.heard_at = self._presumed_at = now
         self.uses = {use.name: use for use in uses}
@@ -71,7 +71,7 @@
             yield use._replace(spent=use.spent - before)
 
     def presume(self, now: float) -> Iterator[Use]:
-        """Yield what is used meanwhile, where nothing was told for a while."""
+        """Yield the assumed usage if there was no report for a while."""
         if now - self.heard_at < NEWS_LIMIT:
             return
         seconds, self._presumed_at = now - self._presumed_at, now
@@ -82,7 +82,7 @@
 
 
 class _Level:
-    """What is left of a burst; it rises with the rate."""
+    """What is left of a burst; it rises at the rate."""
 
     __slots__ = ("_advanced_at", "value")
 
@@ -91,13 +91,13 @@
         self.value = 0.0
 
     def advance(self, rate: float, burst: float, now: float) -> None:
-        """Rise up to the burst."""
+        """Refill up to the burst."""
         self.value = min(burst, self.value + rate * (now - self._advanced_at))
         self._advanced_at = now
 
 
 class FleetUse:
-    """The uses of all organisations, of members and of other aggregators."""
+    """The usage of all organisations, of members and of other aggregators."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
@@ -110,18 +110,18 @@
         self._is_whole = False
 
     def set_allowances(self, allowances: Mapping[str, Allowance]) -> None:
-        """Go by other allowances; what was used stays counted."""
+        """Replace the allowances; counted usage is kept."""
         self._allowances = allowances
         for known in (self._levels, self._totals):
             for name in set(known) - set(allowances):
                 del known[name]
 
-    # What is told.
+    # Reports.
 
     def note_member(
         self, address: str, process: int, uses: Iterable[Use], now: float
     ) -> None:
-        """Take what a process at an address told of its own use."""
+        """Apply the report of a process at an address on its own usage."""
         for use in self._note(self._members, address, process, uses, now):
             self._count(use, now)
 
@@ -133,7 +133,7 @@
         uses: Iterable[Use],
         now: float,
     ) -> None:
-        """Take what another aggregator told of its members' use."""
+        """Apply another aggregator's report on the usage of its members."""
         for use in self._note(self._others, address, process, uses, now):
             self._spend(use, now)
         self._others[address].members = members
@@ -153,7 +153,7 @@
         return known.take(uses, is_first, now)
 
     def _count(self, use: Use, now: float) -> None:
-        """Count the use of a member, which other aggregators are told of."""
+        """Count the usage of a member, to report it to other aggregators."""
         self._totals[use.name] = self._totals.get(use.name, 0.0) + use.spent
         self._spend(use, now)
 
@@ -166,11 +166,11 @@
         level.value = max(-most_debt, level.value - use.spent)
 
     def forget_member(self, address: str) -> None:
-        """Drop an instance that tells another aggregator from now on."""
+        """Drop an instance that now reports to another aggregator."""
         self._members.pop(address, None)
 
     def keep_others(self, addresses: Iterable[str], now: float) -> None:
-        """Learn which other aggregators there are, and see who is heard."""
+        """Set the other aggregators, and check which of them report."""
         expected = set(addresses)
         for address in set(self._others) - expected:
             del self._others[address]
@@ -182,17 +182,17 @@
             self._instances = len(self._members) + sum(one.members for one in others)
 
     def _presume(self, now: float) -> None:
-        """Count on what silent members use, and forget them in the end."""
+        """Count the assumed usage of inactive members; drop expired ones."""
         for address, member in list(self._members.items()):
             for use in member.presume(now):
                 self._count(use, now)
             if now - member.heard_at > self._limits.window:
                 del self._members[address]
 
-    # What is made of it.
+    # Results.
 
     def count_members(self) -> int:
-        """Return how many instances tell their use here."""
+        """Return the number of instances that report their usage here."""
         return len(self._members)
 
     def list_totals(self) -> list[Use]:
@@ -205,9 +205,10 @@
         ]
 
     def describe(self, address: str, now: float) -> list[FleetState]:
-        """Return what an instance has to know.
+        """Return the states that an instance needs.
 
-        That is what it uses itself, and what is not free.
+        These are the organisations that it uses itself, and those that are not
+        free.
         """
         member = self._members.get(address)
         demands = self._measure_demands()
@@ -237,10 +238,10 @@
         return level
 
     def _measure_part(self) -> float:
-        """Return the part of allowances that this aggregator speaks for.
+        """Return the fraction of allowances that this aggregator speaks for.
 
-        Where others are not heard, that is its members' part of the
-        instances that there were when all were.
+        If other aggregators do not report, this is its members' fraction of
+        the number of instances at the time when all did.
         """
         if self._is_whole:
             return self._limits.factor
@@ -249,7 +250,7 @@
         return min(1.0, len(self._members) / self._instances)
 
     def _measure_demands(self) -> dict[str, float]:
-        """Return what is asked for, a second, where this one speaks for."""
+        """Return the demand a second that this aggregator speaks for."""
         demands: dict[str, float] = {}
         self._add_demands(self._members, demands)
         if self._is_whole:
--- a/roadlift/organisations/freshness.py
+++ b/roadlift/organisations/freshness.py
@@ -1,11 +1,12 @@
-"""Know as of when the operator's rows are known.
-
-A key that was taken away must not be served for long anywhere, also where an
-instance is cut off, suspended, just started, or hears only others that are
-cut off themselves. So what counts is not when news came but the moment before
-the store was asked, by the clock that counts suspended time. Who passes rows
-on tells how old its own knowledge is; the receiver counts that from before it
-asked for the telling, so a relay can make knowledge older and never younger.
+"""Track as of when the operator's rows are known.
+
+A revoked key must not be served for long anywhere, even if an instance is cut
+off, suspended, just started, or receives updates only from others that are cut
+off themselves. Therefore the relevant time is not when an update arrived but
+the moment before the store was queried, by the clock that counts suspended
+time. An instance that relays rows reports the age of its own knowledge; the
+receiver counts that age from before it requested the report, so a relay can
+make knowledge older but never younger.
 """
 
 from typing import NamedTuple
@@ -14,7 +15,7 @@
 
 
 class RelayedState(NamedTuple):
-    """What another instance told of its knowledge of the operator's rows.
+    """What another instance reported of its knowledge of the operator's rows.
 
     It knows all rows up to ``position`` as of the time ``known_at``, in
     seconds of this process's clock.
@@ -34,20 +35,20 @@
         self.known_at = float("-inf")
 
     def note_return(self, settled_at: float) -> None:
-        """Learn that the store came back older.
+        """Record that the store came back older.
 
-        What it lost is written again by a time: who reads before that may read
-        rows which had been replaced, and learns nothing new of them.
+        Rows that it lost are written again by a certain time. A read before
+        that may return rows that had been replaced, and does not count.
         """
         self._settled_at = max(self._settled_at, settled_at)
 
     def note_read(self, asked_at: float) -> None:
-        """Learn that the store was read whole, or all that changed of it."""
+        """Record a read of the whole store, or of all that changed in it."""
         if asked_at >= self._settled_at:
             self.known_at = max(self.known_at, asked_at)
 
     def note_relay(self, state: RelayedState) -> None:
-        """Learn how far another instance knows the rows.
+        """Record how far another instance knows the rows.
 
         It counts once all of those rows are known here too.
         """
@@ -57,7 +58,7 @@
             self._lacking = state
 
     def note_position(self, position: StorePosition) -> None:
-        """Learn that all rows up to a position are known here."""
+        """Record that all rows up to a position are known here."""
         self._position = max(self._position, position)
         lacking = self._lacking
         if lacking is not None and lacking.position <= self._position:
--- a/roadlift/organisations/keys.py
+++ b/roadlift/organisations/keys.py
@@ -1,10 +1,10 @@
 """Find the organisation of a caller's key without keeping the key.
 
 A key is turned into a digest where it is read, from a caller or from the
-configuration, so that no part of a process can log it or pass it on. A table
-looks digests up by a second digest under a secret of the process: how long a
-look-up takes tells a caller nothing of the keys that are there, and it does
-not grow with their number.
+configuration, so that no component of a process can log it or forward it. A
+table looks up digests by a second digest that is keyed with a secret of the
+process: the duration of a look-up reveals nothing about the existing keys, and
+it does not grow with their number.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 
 
 def digest_key(key: str) -> str:
-    """Return what stands for a key everywhere behind the place it is read."""
+    """Return the digest that replaces a key once it has been read."""
     return hashlib.blake2b(key.encode(), digest_size=DIGEST_SIZE).hexdigest()
 
 
--- a/roadlift/organisations/shares.py
+++ b/roadlift/organisations/shares.py
@@ -1,20 +1,21 @@
-"""Share an organisation's allowance out among instances without a counter.
-
-Load pattern: calls of one organisation come by a few connections, so that the
-instances' parts of its use differ by a factor of ten and more, and single
-calls are as large as what an instance's equal part has room for in ten
-seconds. The allowance holds over all instances, also those that hear nothing.
-
-Each instance tells its aggregator what it used, and aggregators tell each
-other. While the fleet is well below an organisation's allowance, nobody asks
-whose part it is: an instance may use what it needs. Once the allowance is
-nearly used up, each has the part that its own callers ask for. Where the
-fleet is not known whole, the same goes on within the instances that are, for
-their part of the allowance; and an instance that hears nobody keeps to the
-part that it had last. One that never heard has a small credit and no more.
-
-Equal parts would serve those of an organisation's callers alone who are spread
-evenly.
+"""Share an organisation's allowance among instances without a counter.
+
+Load pattern: calls of one organisation arrive over a few connections, so that
+the instances' shares of its usage differ by a factor of ten and more, and
+single calls are as large as what an instance's equal share allows in ten
+seconds. The allowance holds over all instances, including those that receive
+no updates.
+
+Each instance reports its usage to its aggregator, and aggregators report to
+each other. While the fleet is well below an organisation's allowance, shares
+do not matter: an instance may use what it needs. Once the allowance is nearly
+used up, each instance has the share that its own callers request. If the fleet
+is not known completely, the same is done among the known instances, for their
+fraction of the allowance. An instance that receives no updates keeps to the
+share that it had last. One that never received any has a small credit and no
+more.
+
+Equal shares would only serve organisations whose callers are spread evenly.
 """
 
 from typing import NamedTuple
@@ -22,33 +23,35 @@
 from roadlift.decisions.rates import Rate
 from roadlift.serving.routes import Allowance
 
-# Seconds over which a demand is taken: long enough for a few calls of one
+# Window in seconds of the mean demand: long enough for a few calls of one
 # organisation at one instance, short enough to follow a burst of some seconds.
 DEMAND_SPAN = 2.0
-# Seconds behind the last news in which they stand: three periods of telling.
+# Seconds after which a received state is no longer used: three report
+# intervals.
 NEWS_LIMIT = 0.8
-# What an instance that hears nobody may use of its part: others may have
-# begun to ask for more meanwhile.
+# Fraction of its share that an instance without updates may use: the demand of
+# others may have grown in the meantime.
 KEPT_PART = 0.8
-# Part of the burst that must be left for an organisation to be free. What is
-# used until all know that it is not any more, some 0.6 s later, is owed then.
+# Fraction of the burst that must be left for an organisation to be free. What
+# is used until all instances know that it no longer is, about 0.6 s later, is
+# a debt.
 FREE_PART = 0.5
-# Part of the slack that is added to bursts: one call may use as much as a
-# small allowance has in a second, and with its burst alone an organisation is
-# not free for seconds behind each.
+# Fraction of the slack that is added to bursts: one call may use as much as a
+# small allowance grants in a second, and with its burst alone an organisation
+# would not be free for seconds after each such call.
 LUMP_PART = 0.25
-# Seconds of the rate that may be owed at most.
+# Largest debt, in seconds of the rate.
 MOST_DEBT = 2.0
 # Instances that may start within one window, each with its credit, while the
-# credits stay within what the deployment allows beside the rate.
+# credits stay within what the deployment allows beyond the rate.
 CREDITS = 128
 
 
 class Limits(NamedTuple):
-    """What a deployment allows beside rates and bursts.
+    """What a deployment allows beyond rates and bursts.
 
-    ``over`` is the part by which they may be passed, ``slack`` an amount,
-    ``window`` the seconds in which use is counted.
+    ``over`` is the fraction by which they may be exceeded, ``slack`` an
+    amount, ``window`` the seconds in which usage is counted.
     """
 
     over: float = 0.0
@@ -57,9 +60,10 @@
 
     @property
     def factor(self) -> float:
-        """Return by what allowances are multiplied where all are heard.
+        """Return the factor for allowances when all instances report.
 
-        Half of what they may be passed by is kept for news on their way.
+        Half of the permitted excess is reserved for reports that are on their
+        way.
         """
         return 1.0 + self.over / 2
 
@@ -70,16 +74,16 @@
 
     @property
     def credit(self) -> float:
-        """Return what an instance may use that has not heard of others."""
+        """Return what an instance may use that has no reports of others."""
         return self.slack / CREDITS
 
 
 class Share(NamedTuple):
     """What an instance may use of an organisation's allowance from now on.
 
-    ``part`` of the rate and the burst is the instance's; ``level`` is what
-    is left to it, below 0 where too much was used. While ``is_free``, it
-    need not keep to them.
+    ``part`` is the instance's fraction of the rate and the burst; ``level`` is
+    what is left to it, below 0 if too much was used. While ``is_free``,
+    neither applies.
     """
 
     is_free: bool
@@ -90,7 +94,7 @@
 class Meter:
     """What an instance uses of one organisation's allowance.
 
-    ``spent`` only grows, but for what is given back.
+    ``spent`` only grows, except for what is released.
     """
 
     def __init__(self, allowance: Allowance, limits: Limits, now: float) -> None:
@@ -103,23 +107,23 @@
         self.spent = 0.0
 
     def set_share(self, share: Share, now: float) -> None:
-        """Go on with a share."""
+        """Switch to a new share."""
         self.share = share
         self._level = share.level
         self._advanced_at = now
 
     def keep_part(self, now: float) -> None:
-        """Go on with the part that was told last, as nothing is told now."""
+        """Keep to the last share while there are no updates."""
         if self.share.is_free:
             self._advance(now)
             part = self.share.part * KEPT_PART
             self.share = self.share._replace(is_free=False, part=part)
 
     def take(self, amount: float, now: float) -> float:
-        """Take an amount and return 0, or the seconds until there is room.
+        """Consume an amount and return 0, or return the seconds to wait.
 
-        A call is let in while anything is left, and may leave a debt: else a
-        large one would never be.
+        A call is admitted while anything is left, and may leave a debt:
+        otherwise a large one would never be admitted.
         """
         self.demand.note(amount, now)
         self._advance(now)
@@ -131,16 +135,16 @@
         return min(longest, -self._level / rate) if rate else longest
 
     def spend(self, amount: float) -> None:
-        """Count what is used in any case, or, below 0, was not after all."""
+        """Count an amount in any case; negative if it was not used."""
         self.spent += amount
         self._level -= amount
 
     def _measure(self, whole: float) -> float:
-        """Return this instance's part of a rate or burst."""
+        """Return this instance's share of a rate or burst."""
         return whole * self.share.part
 
     def _advance(self, now: float) -> None:
-        """Let the level rise up to the part of the burst."""
+        """Refill up to the share of the burst."""
         gained = self._measure(self.allowance.rate) * (now - self._advanced_at)
         burst = self._measure(self.allowance.burst + self._limits.lump)
         self._level = max(self._level, min(burst, self._level + gained))
--- a/roadlift/organisations/sharing.py
+++ b/roadlift/organisations/sharing.py
@@ -1,7 +1,7 @@
-"""Two ways to share an organisation's allowance out among instances.
+"""Two ways to share an organisation's allowance among instances.
 
-``EvenSharing`` needs the number of instances alone; ``DemandSharing`` goes by
-what aggregators add up.
+``EvenSharing`` needs only the number of instances; ``DemandSharing`` uses the
+sums of the aggregators.
 """
 
 from collections.abc import Callable, Iterable
@@ -12,27 +12,27 @@
 
 
 class Sharing(Protocol):
-    """How an instance learns its share of an organisation's allowance."""
+    """How an instance gets its share of an organisation's allowance."""
 
     def update(self, name: str, meter: Meter, now: float) -> None:
-        """Put the share that holds now in force, before a call is judged."""
+        """Apply the share that is in force now, before a call is checked."""
 
 
 class EvenSharing:
-    """Give each instance that is known the same part, whatever is asked."""
+    """Give each known instance the same share, whatever the demand."""
 
     def __init__(self, count_instances: Callable[[], int]) -> None:
         self._count_instances = count_instances
 
     def update(self, name: str, meter: Meter, now: float) -> None:
-        """Set an equal part where the number of instances has changed."""
+        """Set an equal share if the number of instances has changed."""
         part = 1.0 / max(1, self._count_instances())
         if meter.share.part != part:
             meter.set_share(Share(False, part, 0.0), now)
 
 
 class DemandSharing:
-    """Go by what the aggregator told last, while that stands."""
+    """Use the aggregator's last report for as long as it is valid."""
 
     def __init__(self) -> None:
         self._states: dict[str, FleetState] = {}
@@ -41,11 +41,11 @@
 
     @property
     def heard_at(self) -> float:
-        """Return as of when the news are, in seconds of this process."""
+        """Return as of when the states are known, in local seconds."""
         return self._heard_at
 
     def note_news(self, states: Iterable[FleetState], asked_at: float) -> None:
-        """Take the answer to what was told at a time."""
+        """Apply the answer to a report that was sent at ``asked_at``."""
         if asked_at < self._heard_at:
             return
         self._heard_at = asked_at
@@ -53,13 +53,13 @@
         self._new = set(self._states)
 
     def update(self, name: str, meter: Meter, now: float) -> None:
-        """Set the share by news; without any, keep the part of before."""
+        """Set the share from the states; without any, keep the last one."""
         if now - self._heard_at > NEWS_LIMIT:
             meter.keep_part(now)
             return
         state = self._states.get(name)
         if state is None:
-            # An organisation that is not named is free.
+            # An organisation that is not listed is free.
             if not meter.share.is_free:
                 meter.set_share(meter.share._replace(is_free=True), now)
         elif name in self._new:
@@ -68,7 +68,7 @@
 
 
 def _find_share(state: FleetState, meter: Meter, now: float) -> Share:
-    """Return an instance's share by what it is asked for itself."""
+    """Return an instance's share by its local demand."""
     own = meter.demand.measure(now)
     weight = own / max(own, state.demand) if own else 0.0
     untold = meter.spent - state.counted
--- a/roadlift/retries/__init__.py
+++ b/roadlift/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Decide whether a failed try may be repeated, by proof and by budget.
+"""Decide whether a failed attempt may be repeated, by outcome and by budget.
 
 Public surface: ``RetryBudget`` and ``may_retry``.
 """
--- a/roadlift/retries/rules.py
+++ b/roadlift/retries/rules.py
@@ -1,17 +1,17 @@
-"""Allow a retry where it can double nothing, within a budget.
+"""Allow a retry if it can't run a request twice, within a budget.
 
-A try that provably did not run may be repeated for any request. One whose
-outcome is unknown, or that failed, only for a request that is idempotent
-and of whose answer the caller has seen no byte.
+An attempt that provably did not run may be repeated for any request. One whose
+outcome is unknown, or that failed, may be repeated only for an idempotent
+request of whose answer the caller has received no byte.
 """
 
 from roadlift.core.errors import Outcome, RoadliftError
 
 
 def may_retry(error: RoadliftError, idempotent: bool, answered: bool) -> bool:
-    """Tell whether a request may be tried again after ``error``.
+    """Return whether a request may be tried again after ``error``.
 
-    ``answered`` tells that the caller has received a part of the answer.
+    ``answered`` means that the caller has received a part of the answer.
     """
     if answered:
         return False
@@ -22,9 +22,10 @@
 
 
 class RetryBudget:
-    """Retries as a part of the requests, so that they can't multiply load.
+    """Retries as a fraction of the requests, so that they can't multiply load.
 
-    Each request earns ``share`` of a retry; at most ``most`` are saved up.
+    Each request earns ``share`` of a retry; at most ``max_saved`` are saved
+    up.
     """
 
     def __init__(self, share: float = 0.1, most: float = 20.0) -> None:
@@ -37,7 +38,7 @@
         self._saved = min(self._most, self._saved + self._share)
 
     def spend(self) -> bool:
-        """Take one retry; False means that none is left."""
+        """Consume one retry; False means that none is left."""
         if self._saved < 1.0 - _ROUNDING:
             return False
         self._saved -= 1.0
--- a/roadlift/retries/window.py
+++ b/roadlift/retries/window.py
@@ -1,15 +1,15 @@
-"""Share a budget of retries among instances that have no common counter.
+"""Share a retry budget among instances that have no common counter.
 
 The deployment may send ``ratio`` retries for each request and ``slack`` more,
-in any window. An instance uses the ratio of its own requests and its part of
-the slack, by the instances that it believes to be there. Both are cut by a
-margin, for instances that have just ended with their part spent.
+in any window. An instance uses the ratio of its own requests and its share of
+the slack, by the number of instances that it knows. Both are reduced by a
+margin, for instances that have just stopped after spending their share.
 """
 
 from collections import deque
 
-MARGIN = 0.6  # Part of the allowance that is used.
-BUCKETS = 20  # Parts of a window in which counts are gathered.
+MARGIN = 0.6  # Fraction of the allowance that is used.
+BUCKETS = 20  # Buckets of a window in which requests and retries are counted.
 
 
 class _Bucket:
@@ -38,7 +38,7 @@
         self._requests += 1
 
     def spend(self, now: float, instances: int) -> bool:
-        """Take one retry; False means that none is left."""
+        """Consume one retry; False means that none is left."""
         bucket = self._get_bucket(now)
         allowed = self._ratio * self._requests + self._slack / max(1, instances)
         if self._retries + 1 > allowed * MARGIN:
@@ -48,7 +48,7 @@
         return True
 
     def _get_bucket(self, now: float) -> _Bucket:
-        """Return the bucket of now; forget those older than the window."""
+        """Return the current bucket; drop those older than the window."""
         while self._buckets and now - self._buckets[0].since > self._window:
             old = self._buckets.popleft()
             self._requests -= old.requests
