--- a/roadlift/crashes/ends.py
+++ b/roadlift/crashes/ends.py
@@ -16,7 +16,7 @@
 # Seconds after which the result is usually known: a call that was cut is not
 # sent to another endpoint sooner, as it might crash a fourth one.
 KNOWN_DELAY = 0.04
-MOST_NAMED = 16  # Suspects that one instance reports for one crash.
+MAX_SUSPECTS = 16  # Suspects that one instance reports for one crash.
 
 
 class End(NamedTuple):
@@ -33,9 +33,9 @@
 class EndCheck:
     """The cut calls of this process, and whether their endpoints crashed."""
 
-    def __init__(self, kernel: Kernel, on_end: Callable[[End], None]) -> None:
+    def __init__(self, kernel: Kernel, on_crash: Callable[[End], None]) -> None:
         self._kernel = kernel
-        self._on_end = on_end
+        self._on_crash = on_crash
         self._cuts: dict[str, dict[bytes, int]] = {}
 
     def note_cut(
@@ -60,14 +60,14 @@
         request = Request(
             "GET", "/", may_send=lambda: False, connect_timeout=CHECK_TIMEOUT
         )
-        learn = lambda error: self._note_check(endpoint, error)
-        receiver = WholeAnswer(lambda answer: None, learn)
+        on_error = lambda error: self._handle_check(endpoint, error)
+        receiver = WholeAnswer(lambda answer: None, on_error)
         self._kernel.dialer.open(address, request, receiver, CHECK_TIMEOUT)
 
-    def _note_check(self, endpoint: str, error: RoadliftError) -> None:
+    def _handle_check(self, endpoint: str, error: RoadliftError) -> None:
         cuts = self._cuts.pop(endpoint, {})
         if isinstance(error, ConnectionRefused):
-            self._on_end(End(endpoint, len(cuts), choose_suspects(cuts)))
+            self._on_crash(End(endpoint, len(cuts), choose_suspects(cuts)))
         # Otherwise it is alive, or the check is inconclusive: a network path
         # that is cut, a host without power. Calls can't be the cause of that.
 
@@ -78,5 +78,5 @@
     If some had begun and produced nothing, the others are excluded.
     """
     strongest = max(cuts.values(), default=WEAK)
-    chosen = [one for one in cuts.items() if one[1] == strongest]
-    return dict(chosen[-MOST_NAMED:])
+    chosen = [item for item in cuts.items() if item[1] == strongest]
+    return dict(chosen[-MAX_SUSPECTS:])
--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -48,32 +48,34 @@
         if self.crashes.is_empty:
             return None
         identity = identify()
-        seconds = self.crashes.measure_refusal(identity, self._clock.now())
+        seconds = self.crashes.compute_refusal(identity, self._clock.now())
         if not seconds:
             return None
-        ends = self.crashes.count_ends(identity)
-        return EndsEndpoints(f"{ends} ended under it", round(seconds, 1))
+        count = self.crashes.count_crashes(identity)
+        return EndsEndpoints(
+            f"{count} endpoints crashed while running it", round(seconds, 1)
+        )
 
     def is_suspect(self, identify: Callable[[], bytes]) -> bool:
         """Return whether an endpoint crashed under work not yet cleared."""
         return not self.crashes.is_empty and self.crashes.is_suspect(identify())
 
-    def learn(self, signs: list[Sign]) -> None:
+    def learn(self, evidence: list[Sign]) -> None:
         """Add evidence that no other instance has reported."""
-        found = self.merge(signs)
+        found = self.merge(evidence)
         if found:
             for listener in self.on_news:
                 listener(found)
 
-    def merge(self, signs: list[Sign]) -> list[Sign]:
+    def merge(self, evidence: list[Sign]) -> list[Sign]:
         """Add evidence; return what is new."""
         refused = self.crashes.list_refused()
-        found = self.crashes.merge(signs, self._clock.now())
-        changed = {sign.identity for sign in found}
+        found = self.crashes.merge(evidence, self._clock.now())
+        changed = {item.identity for item in found}
         # A newly confirmed cause may explain crashes for which other work was
         # refused.
         for identity in changed | (refused ^ self.crashes.list_refused()):
-            self._note_change(identity)
+            self._notify_change(identity)
         return found
 
     def clear(self, identify: Callable[[], bytes]) -> None:
@@ -86,18 +88,18 @@
             return
         if was_refused:
             log.event("work_cleared", identity=identity.hex())
-        self._note_change(identity)
+        self._notify_change(identity)
         cleared = self.crashes.list_signs(self._clock.now(), identity)
         for listener in self.on_news:
             listener(cleared)
 
-    def _note_change(self, identity: bytes) -> None:
-        seconds = self.crashes.measure_refusal(identity, self._clock.now())
+    def _notify_change(self, identity: bytes) -> None:
+        seconds = self.crashes.compute_refusal(identity, self._clock.now())
         if seconds:
             log.event(
                 "work_barred",
                 identity=identity.hex(),
-                ends=self.crashes.count_ends(identity),
+                ends=self.crashes.count_crashes(identity),
                 seconds=round(seconds, 1),
             )
         for listener in self.on_change:
--- a/roadlift/crashes/turns.py
+++ b/roadlift/crashes/turns.py
@@ -12,10 +12,10 @@
 
 # Seconds after which a trial slot is released: ten times as long as engines
 # were seen to survive a call that crashes them.
-TURN_LIMIT = 1.0
+TRIAL_TIMEOUT = 1.0
 
 
-class _Turn:
+class _Trial:
     """The timer of a call that has a trial slot, and who waits for its end."""
 
     def __init__(self, timer: Timer) -> None:
@@ -28,27 +28,27 @@
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._turns: dict[bytes, _Turn] = {}
+        self._trials: dict[bytes, _Trial] = {}
 
     def begin(self, identity: bytes) -> None:
         """Allocate a trial slot to a call."""
         self.end(identity)
-        timer = self._loop.call_later(TURN_LIMIT, lambda: self.end(identity))
-        self._turns[identity] = _Turn(timer)
+        timer = self._loop.call_later(TRIAL_TIMEOUT, lambda: self.end(identity))
+        self._trials[identity] = _Trial(timer)
 
-    def wait(self, identity: bytes, on_turn: Callable[[], None]) -> bool:
+    def wait(self, identity: bytes, on_free: Callable[[], None]) -> bool:
         """Call ``on_free`` once the slot is free; False if not in use."""
-        turn = self._turns.get(identity)
-        if turn is None:
+        trial = self._trials.get(identity)
+        if trial is None:
             return False
-        turn.waiters.append(on_turn)
+        trial.waiters.append(on_free)
         return True
 
     def end(self, identity: bytes) -> None:
         """Release a trial slot; without one this does nothing."""
-        turn = self._turns.pop(identity, None)
-        if turn is None:
+        trial = self._trials.pop(identity, None)
+        if trial is None:
             return
-        turn.timer.close()
-        for waiter in turn.waiters:
+        trial.timer.close()
+        for waiter in trial.waiters:
             self._loop.call_later(0, waiter)
--- a/roadlift/decisions/crashes.py
+++ b/roadlift/decisions/crashes.py
@@ -27,23 +27,23 @@
 # was only sent, or that had received events, may still be the cause.
 STRONG = 3
 WEAK = 2
-SHARED = 1  # Weight of weak evidence if the same crash has strong evidence.
+REDUCED = 1  # Weight of weak evidence if the same crash has strong evidence.
 # Total weight from which a call is refused: two strong pieces of evidence, or
 # three of any kind, each from another endpoint. A call that is not the cause
 # would have to be repeated twice and start on a crashing endpoint each time.
-LIMIT = 6
+REFUSAL_THRESHOLD = 6
 # Seconds of a refusal after the second crash, ten times as long after each
 # further one. Refusals expire because the endpoints' software may have been
 # fixed.
 FIRST_REFUSAL = 60.0
-GROWTH = 10.0
-MOST_REFUSAL = 3600.0
+REFUSAL_GROWTH = 10.0
+MAX_REFUSAL = 3600.0
 # Largest fraction by which an instance refuses for longer than another. One
 # instance thus tries a call before the others admit it, and reports the result
 # to them.
-SPREAD = 0.1
+REFUSAL_JITTER = 0.1
 # Seconds that evidence is kept after the last crash or the end of the refusal.
-MEMORY = 600.0
+RETENTION = 600.0
 MOST_CALLS = 256  # Calls with evidence that are kept.
 
 
@@ -64,13 +64,13 @@
     """Endpoints whose crash has strong evidence, or a confirmed cause."""
 
     suspected: set[str]
-    sure: set[str]
+    confirmed: set[str]
 
-    def weigh(self, endpoint: str, weight: int) -> int:
+    def compute_weight(self, endpoint: str, weight: int) -> int:
         """Return the weight with which a piece of evidence counts."""
         if weight != WEAK or endpoint not in self.suspected:
             return weight
-        return 0 if endpoint in self.sure else SHARED
+        return 0 if endpoint in self.confirmed else REDUCED
 
 
 class _Record:
@@ -79,24 +79,24 @@
     ``causes`` is shared by all records.
     """
 
-    __slots__ = ("causes", "signs")
+    __slots__ = ("causes", "evidence")
 
     def __init__(self, causes: _Causes) -> None:
-        self.signs: dict[str, tuple[int, float]] = {}
+        self.evidence: dict[str, tuple[int, float]] = {}
         self.causes = causes
 
     def _list_weights(self) -> list[int]:
         """Return the weights above 0 that count, one for each crash."""
         found = [
-            self.causes.weigh(endpoint, weight)
-            for endpoint, (weight, _) in self.signs.items()
+            self.causes.compute_weight(endpoint, weight)
+            for endpoint, (weight, _) in self.evidence.items()
         ]
         return [weight for weight in found if weight]
 
     @property
-    def is_sure(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Return whether the unreduced weights reach the threshold."""
-        return sum(weight for weight, _ in self.signs.values()) >= LIMIT
+        return sum(weight for weight, _ in self.evidence.values()) >= REFUSAL_THRESHOLD
 
     @property
     def weight(self) -> int:
@@ -106,26 +106,28 @@
     @property
     def is_refused(self) -> bool:
         """Return whether the evidence that counts reaches the threshold."""
-        return self.weight >= LIMIT
+        return self.weight >= REFUSAL_THRESHOLD
 
     @property
-    def ends(self) -> int:
+    def crash_count(self) -> int:
         """Return the number of crashes that count."""
         return len(self._list_weights())
 
     def list_strong(self) -> list[str]:
         """Return the endpoints with strong evidence."""
-        return [name for name, (weight, _) in self.signs.items() if weight >= STRONG]
+        return [name for name, (weight, _) in self.evidence.items() if weight >= STRONG]
 
-    def measure_refusal(self) -> float:
+    def compute_refusal(self) -> float:
         """Return the seconds of the refusal after the last crash."""
         if not self.is_refused:
             return 0.0
-        return min(MOST_REFUSAL, FIRST_REFUSAL * GROWTH ** (self.ends - 2))
+        return min(
+            MAX_REFUSAL, FIRST_REFUSAL * REFUSAL_GROWTH ** (self.crash_count - 2)
+        )
 
-    def find_last(self) -> float:
+    def find_last_crash(self) -> float:
         """Return the time of the last crash."""
-        return max(at for _, at in self.signs.values())
+        return max(at for _, at in self.evidence.values())
 
 
 class Crashes:
@@ -135,7 +137,7 @@
     """
 
     def __init__(self, rank: float = 0.0) -> None:
-        self._stretch = 1.0 + SPREAD * rank
+        self._stretch = 1.0 + REFUSAL_JITTER * rank
         self._records: OrderedDict[bytes, _Record] = OrderedDict()
         self._checksum: int | None = None
         self._causes = _Causes(set(), set())
@@ -158,30 +160,32 @@
     def is_settled(self, identity: bytes) -> bool:
         """Return whether no evidence against a call remains."""
         record = self._records.get(identity)
-        return record is None or not any(weight for weight, _ in record.signs.values())
+        return record is None or not any(
+            weight for weight, _ in record.evidence.values()
+        )
 
-    def count_ends(self, identity: bytes) -> int:
+    def count_crashes(self, identity: bytes) -> int:
         """Return the number of endpoints that crashed under a call."""
         record = self._records.get(identity)
-        return record.ends if record is not None else 0
+        return record.crash_count if record is not None else 0
 
     def count_refused(self) -> int:
         """Return how many calls are refused or on a further trial."""
         return sum(record.is_refused for record in self._records.values())
 
-    def measure_refusal(self, identity: bytes, now: float) -> float:
+    def compute_refusal(self, identity: bytes, now: float) -> float:
         """Return the seconds for which a call may not run; 0 if it may."""
         record = self._records.get(identity)
         if record is None or not record.is_refused:
             return 0.0
-        until = record.find_last() + record.measure_refusal() * self._stretch
+        until = record.find_last_crash() + record.compute_refusal() * self._stretch
         return max(0.0, until - now)
 
-    def merge(self, signs: Iterable[Sign], now: float) -> list[Sign]:
+    def merge(self, evidence: Iterable[Sign], now: float) -> list[Sign]:
         """Add evidence; return the pieces that changed the state."""
-        found = [sign for sign in signs if self._merge(sign, now)]
+        found = [item for item in evidence if self._merge(item, now)]
         if found:
-            self._explain()
+            self._update_causes()
         return found
 
     def list_refused(self) -> set[bytes]:
@@ -193,9 +197,9 @@
         record = self._records.get(identity)
         if record is None or not record.weight:
             return False
-        record.signs = {name: (0, at) for name, (_, at) in record.signs.items()}
+        record.evidence = {name: (0, at) for name, (_, at) in record.evidence.items()}
         self._checksum = None
-        self._explain()
+        self._update_causes()
         return True
 
     def list_signs(self, now: float, identity: bytes | None = None) -> list[Sign]:
@@ -205,57 +209,57 @@
             Sign(name, endpoint, weight, round(now - at, 3))
             for name, record in records
             if identity in (None, name)
-            for endpoint, (weight, at) in record.signs.items()
+            for endpoint, (weight, at) in record.evidence.items()
         ]
 
     def expire(self, now: float) -> None:
         """Drop expired evidence."""
         for identity, record in list(self._records.items()):
-            until = record.find_last() + record.measure_refusal() + MEMORY
+            until = record.find_last_crash() + record.compute_refusal() + RETENTION
             if now > until:
                 del self._records[identity]
                 self._checksum = None
-        self._explain()
+        self._update_causes()
 
     def compute_checksum(self) -> int:
         """Return a checksum, equal on instances with the same evidence."""
         if self._checksum is None:
             self._checksum = 0
             for identity, record in self._records.items():
-                for endpoint, (weight, _) in record.signs.items():
+                for endpoint, (weight, _) in record.evidence.items():
                     data = identity + bytes([weight]) + endpoint.encode()
                     self._checksum ^= zlib.crc32(data)
         return self._checksum
 
-    def _merge(self, sign: Sign, now: float) -> bool:
-        record = self._records.get(sign.identity)
-        known = record.signs.get(sign.endpoint) if record is not None else None
-        if known is not None and not _is_stronger(sign.weight, known[0]):
+    def _merge(self, item: Sign, now: float) -> bool:
+        record = self._records.get(item.identity)
+        known = record.evidence.get(item.endpoint) if record is not None else None
+        if known is not None and not _supersedes(item.weight, known[0]):
             return False
         if record is None:
-            record = self._records[sign.identity] = _Record(self._causes)
-            self._make_room()
-        at = now - sign.age if known is None else known[1]
-        record.signs[sign.endpoint] = (sign.weight, at)
+            record = self._records[item.identity] = _Record(self._causes)
+            self._evict_oldest()
+        at = now - item.age if known is None else known[1]
+        record.evidence[item.endpoint] = (item.weight, at)
         self._checksum = None
         return True
 
-    def _explain(self) -> None:
+    def _update_causes(self) -> None:
         """Recompute the causes of crashes from all evidence.
 
         The result does not depend on the order in which the evidence arrived.
         """
         suspected: set[str] = set()
-        sure: set[str] = set()
+        confirmed: set[str] = set()
         for record in self._records.values():
             strong = record.list_strong()
             suspected.update(strong)
-            sure.update(strong if record.is_sure else ())
-        self._causes = _Causes(suspected, sure)
+            confirmed.update(strong if record.is_confirmed else ())
+        self._causes = _Causes(suspected, confirmed)
         for record in self._records.values():
             record.causes = self._causes
 
-    def _make_room(self) -> None:
+    def _evict_oldest(self) -> None:
         """Drop the oldest call, one that is not refused if there is one."""
         if len(self._records) <= MOST_CALLS:
             return
@@ -264,7 +268,7 @@
         del self._records[next(free, older[0])]
 
 
-def _is_stronger(weight: int, known: int) -> bool:
+def _supersedes(weight: int, known: int) -> bool:
     """Return whether evidence replaces other evidence of the same crash.
 
     That work was not the cause is certain. Otherwise the instance that saw
--- a/roadlift/decisions/denials.py
+++ b/roadlift/decisions/denials.py
@@ -10,9 +10,9 @@
 
 from roadlift.serving.calls import Model
 
-MOST_REMEMBERED = 4096  # Adapters of one owner.
+MAX_ADAPTERS = 4096  # Adapters of one owner.
 # Seconds after the last denial from which nobody waits for an adapter.
-MEMORY = 15.0
+RETENTION = 15.0
 
 
 class Denials:
@@ -25,13 +25,13 @@
         """Record that an adapter was denied."""
         self._times[model] = self.find_since(model, now), now
         self._times.move_to_end(model)
-        if len(self._times) > MOST_REMEMBERED:
+        if len(self._times) > MAX_ADAPTERS:
             self._times.popitem(last=False)
 
     def find_since(self, model: Model, now: float) -> float:
         """Return when an adapter was first denied; ``now`` if never."""
         first, last = self._times.get(model, (now, now))
-        return first if now - last <= MEMORY else now
+        return first if now - last <= RETENTION else now
 
     def forget(self, model: Model) -> None:
         """Drop the record of an adapter that is now loaded."""
--- a/roadlift/decisions/limits.py
+++ b/roadlift/decisions/limits.py
@@ -24,25 +24,25 @@
 # the lifetime of a grant adds, they stay below one and a half times the limit.
 GIVEN_PART = 1.0
 UNSURE_PART = 0.25
-FLOOR_PART = 0.05
+MIN_RATE_FRACTION = 0.05
 GRANT_LIFE = 0.4  # Seconds in which a granted send may begin.
 # Longest wait of a call for its send, in seconds: shorter than the interval
 # between two owners of a zone, so that sends granted by both never begin at
 # the same time.
-MOST_PATIENCE = 0.4
+MAX_WAIT = 0.4
 BURST = 2.0  # Sends that may begin at once.
 # Largest deduction for sends without a grant, in seconds of the limit: an
 # endpoint that is avoided for longer serves nobody.
-MOST_DEBT = 1.5
+MAX_DEBT = 1.5
 # Limit that replaces 0, in calls a second: without an occasional call nobody
 # would notice that the endpoint accepts calls again.
-LEAST_LIMIT = 0.1
+MIN_LIMIT = 0.1
 # Calls a second from which a limit has no effect.
-MOST_LIMIT = 10_000.0
-ASK_MEMORY = 2.0  # Seconds for which the answer to a request is repeated.
+MAX_LIMIT = 10_000.0
+REQUEST_RETENTION = 2.0  # Seconds for which the answer to a request is repeated.
 # Seconds for which the end of a limit is kept and reported, so that an
 # instance that has not received it yet does not restore the limit.
-END_MEMORY = 10.0
+END_RETENTION = 10.0
 
 
 class Basis(NamedTuple):
@@ -86,9 +86,9 @@
 
 def adapt(limit: float | None) -> float | None:
     """Return a limit that can be applied, or None if it has no effect."""
-    if limit is None or limit >= MOST_LIMIT:
+    if limit is None or limit >= MAX_LIMIT:
         return None
-    return max(LEAST_LIMIT, limit)
+    return max(MIN_LIMIT, limit)
 
 
 class LimitRecord:
@@ -127,9 +127,9 @@
         self._record = LimitRecord(fence)
         # When the next send would begin if none were granted in advance.
         self._next_at = now
-        self._gap = 0.0
+        self._interval = 0.0
         self._spent: dict[str, int] = {}
-        self._given: dict[tuple[str, int], float] = {}
+        self._granted: dict[tuple[str, int], float] = {}
         self._ended_at: float | None = None
         self.named_at = now
 
@@ -145,7 +145,7 @@
 
     def is_forgotten(self, now: float) -> bool:
         """Return whether the limit ended long ago."""
-        return self._ended_at is not None and now - self._ended_at > END_MEMORY
+        return self._ended_at is not None and now - self._ended_at > END_RETENTION
 
     def learn(self, claim: Claim, now: float) -> bool:
         """Apply an instance's report; return whether the limit changed."""
@@ -160,20 +160,22 @@
             # It was reported by the previous owner.
             has_changed = self._record.learn(claim.limit, NO_BASIS)
         if has_changed:
-            self._pace(now)
+            self._change_rate(now)
         if has_changed and before is None:
             # Instances restart their count of sends whenever a limit begins.
             self._spent.clear()
         self._charge_spent(claim, now)
         return has_changed
 
-    def _pace(self, now: float) -> None:
+    def _change_rate(self, now: float) -> None:
         """Switch to a new limit; keep the number of sends granted ahead."""
         limit = self._record.limit
         self._ended_at = now if limit is None else None
-        ahead = max(0.0, self._next_at - now) / self._gap if self._gap else 0.0
-        self._gap = 0.0 if limit is None else 1.0 / limit
-        self._next_at = now + min(MOST_DEBT, ahead * self._gap)
+        ahead = (
+            max(0.0, self._next_at - now) / self._interval if self._interval else 0.0
+        )
+        self._interval = 0.0 if limit is None else 1.0 / limit
+        self._next_at = now + min(MAX_DEBT, ahead * self._interval)
 
     def _charge_spent(self, claim: Claim, now: float) -> None:
         """Deduct the sends made without a grant since the last report."""
@@ -184,40 +186,42 @@
 
     def charge(self, count: int, now: float) -> None:
         """Deduct a number of sends from later grants."""
-        behind = max(self._next_at, now) + count * self._gap / GIVEN_PART
-        most = max(MOST_DEBT, BURST * self._gap)
-        self._next_at = max(self._next_at, min(behind, now + most))
+        charged_until = max(self._next_at, now) + count * self._interval / GIVEN_PART
+        max_ahead = max(MAX_DEBT, BURST * self._interval)
+        self._next_at = max(self._next_at, min(charged_until, now + max_ahead))
 
     def give(
-        self, asker: str, number: int, patience: float, part: float, now: float
+        self, requester: str, number: int, max_wait: float, fraction: float, now: float
     ) -> Grant:
-        """Grant a send that may begin within ``patience`` seconds.
+        """Grant a send that may begin within ``max_wait`` seconds.
 
         A request that is repeated because its answer was lost is granted the
         same send.
         """
-        known = self._given.get((asker, number))
+        known = self._granted.get((requester, number))
         if known is not None:
             return Grant(True, max(0.0, known - now))
-        delay = self._measure_delay(part, now)
-        if delay > min(patience, MOST_PATIENCE):
+        delay = self._compute_delay(fraction, now)
+        if delay > min(max_wait, MAX_WAIT):
             return Grant(False, delay)
-        self._take(part, now)
-        self._remember(asker, number, now + delay, now)
+        self._consume(fraction, now)
+        self._record_grant(requester, number, now + delay, now)
         return Grant(True, delay)
 
-    def _measure_delay(self, part: float, now: float) -> float:
-        ahead = (BURST - 1.0) * self._gap / part
+    def _compute_delay(self, fraction: float, now: float) -> float:
+        ahead = (BURST - 1.0) * self._interval / fraction
         return max(0.0, self._next_at - ahead - now)
 
-    def _take(self, part: float, now: float) -> None:
-        self._next_at = max(self._next_at, now) + self._gap / part
+    def _consume(self, fraction: float, now: float) -> None:
+        self._next_at = max(self._next_at, now) + self._interval / fraction
 
-    def _remember(self, asker: str, number: int, begins_at: float, now: float) -> None:
-        self._given = {
-            key: at for key, at in self._given.items() if now - at < ASK_MEMORY
+    def _record_grant(
+        self, requester: str, number: int, begins_at: float, now: float
+    ) -> None:
+        self._granted = {
+            key: at for key, at in self._granted.items() if now - at < REQUEST_RETENTION
         }
-        self._given[asker, number] = begins_at
+        self._granted[requester, number] = begins_at
 
 
 class Floor:
@@ -234,7 +238,7 @@
 
     def take(self, limit: float, instances: int, now: float) -> bool:
         """Consume a send if one is due; return whether it was."""
-        period = max(1, instances) / (FLOOR_PART * limit)
+        period = max(1, instances) / (MIN_RATE_FRACTION * limit)
         due = self._began_at + self._phase * period
         if self._sent_at is not None:
             due = self._sent_at + period
--- a/roadlift/decisions/loading.py
+++ b/roadlift/decisions/loading.py
@@ -9,7 +9,7 @@
 import math
 
 SMOOTHING = 0.2  # Weight of the latest wait in an estimate.
-MOST_SAMPLE = 2.0  # Upper bound of one sample, in seconds.
+MAX_SAMPLE = 2.0  # Upper bound of one sample, in seconds.
 # Seconds in which an estimate loses half its distance to the initial estimate
 # while there are no samples. A call whose load is predicted to finish too late
 # is refused and provides no sample: without the decay, calls would be refused
@@ -31,8 +31,8 @@
 
 # Seconds assumed before the first sample: a transfer of some tens of
 # megabytes, a tenth of that from memory, including the messages.
-_FIRST_GUESSES = {Source.HELD: 0.0, Source.AT_HAND: 0.05, Source.STORE: 0.3}
-FIRST_PLACE_WAIT = 0.3  # Seconds until a slot becomes free, likewise.
+_INITIAL_ESTIMATES = {Source.HELD: 0.0, Source.AT_HAND: 0.05, Source.STORE: 0.3}
+INITIAL_SLOT_WAIT = 0.3  # Seconds until a slot becomes free, likewise.
 
 
 class Generations:
@@ -54,7 +54,7 @@
 # Loads begin before the last possible moment by this many times their mean
 # deviation from the estimate: a load that finishes just too late serves no
 # call.
-SAFETY = 2.0
+SAFETY_FACTOR = 2.0
 
 
 class _Estimate:
@@ -63,33 +63,33 @@
     The mean deviation of the samples from it decays to 0 likewise.
     """
 
-    __slots__ = ("_deviation", "_guess", "_noted_at", "_value")
+    __slots__ = ("_deviation", "_initial", "_updated_at", "_value")
 
-    def __init__(self, guess: float) -> None:
-        self._guess = guess
-        self._noted_at = 0.0
-        self._value = guess
+    def __init__(self, initial: float) -> None:
+        self._initial = initial
+        self._updated_at = 0.0
+        self._value = initial
         self._deviation = 0.0
 
     def get(self, now: float) -> float:
         """Return the estimate."""
-        return self._guess + (self._value - self._guess) * self._fade(now)
+        return self._initial + (self._value - self._initial) * self._decay(now)
 
-    def measure_deviation(self, now: float) -> float:
+    def compute_deviation(self, now: float) -> float:
         """Return the mean deviation of the samples from the estimate."""
-        return self._deviation * self._fade(now)
+        return self._deviation * self._decay(now)
 
-    def _fade(self, now: float) -> float:
-        return math.exp2((self._noted_at - now) / HALF_LIFE)
+    def _decay(self, now: float) -> float:
+        return math.exp2((self._updated_at - now) / HALF_LIFE)
 
     def note(self, seconds: float, now: float) -> None:
         """Add a sample."""
         known = self.get(now)
-        error = min(seconds, MOST_SAMPLE) - known
-        deviation = self.measure_deviation(now)
+        error = min(seconds, MAX_SAMPLE) - known
+        deviation = self.compute_deviation(now)
         self._deviation = deviation + SMOOTHING * (abs(error) - deviation)
         self._value = known + SMOOTHING * error
-        self._noted_at = now
+        self._updated_at = now
 
 
 class LoadWaits:
@@ -97,9 +97,9 @@
 
     def __init__(self) -> None:
         self._loads = {
-            source: _Estimate(guess) for source, guess in _FIRST_GUESSES.items()
+            source: _Estimate(initial) for source, initial in _INITIAL_ESTIMATES.items()
         }
-        self._place = _Estimate(FIRST_PLACE_WAIT)
+        self._slot_wait = _Estimate(INITIAL_SLOT_WAIT)
 
     def note(self, source: Source, seconds: float, now: float) -> None:
         """Record how long a load took for which a slot was free."""
@@ -107,7 +107,7 @@
 
     def note_place(self, seconds: float, now: float) -> None:
         """Record how long it took until a full engine had a free slot."""
-        self._place.note(seconds, now)
+        self._slot_wait.note(seconds, now)
 
     def estimate(self, source: Source, now: float) -> float:
         """Return how long a load takes."""
@@ -116,8 +116,8 @@
     def estimate_safely(self, source: Source, now: float) -> float:
         """Return a time within which nearly every load is done."""
         known = self._loads[source]
-        return known.get(now) + SAFETY * known.measure_deviation(now)
+        return known.get(now) + SAFETY_FACTOR * known.compute_deviation(now)
 
     def estimate_place(self, now: float) -> float:
         """Return how long it takes until a full engine has a free slot."""
-        return self._place.get(now)
+        return self._slot_wait.get(now)
--- a/roadlift/decisions/placement.py
+++ b/roadlift/decisions/placement.py
@@ -16,24 +16,24 @@
 
 # Cost of a load from the weight store in seconds, in addition to the time that
 # it takes: the transfer is paid for.
-STORE_PRICE = 0.35
+STORE_COST = 0.35
 # Cost of transferring a call and its answer between zones, in seconds.
-ZONE_PRICE = 0.04
+ZONE_COST = 0.04
 # Cost in seconds for each rank among the preferred endpoints of an adapter
 # that no engine has, so that instances that request it at the same moment
 # choose the same engine.
-RANK_PRICE = 0.02
+RANK_COST = 0.02
 
 
 # Additional cost in seconds of a call, and of a load, at a rate-limited
 # engine: others with free capacity are preferred, and get copies of what it
 # holds.
-SPARED_PRICE = 0.1
-SPARED_LOAD_PRICE = 1.0
+RESERVED_COST = 0.1
+RESERVED_LOAD_COST = 1.0
 # Cost of an engine's last free slot in seconds; if several are free, it is
 # divided by their number. A copy occupies its slot for as long as calls run on
 # it.
-PLACE_PRICE = 0.25
+LAST_SLOT_COST = 0.25
 
 
 class Engine(NamedTuple):
@@ -56,7 +56,7 @@
     can_load: bool
     queue: float = 0.0
     wait: float = 0.0
-    is_spared: bool = False
+    is_reserved: bool = False
 
 
 class Need(NamedTuple):
@@ -77,29 +77,31 @@
     cost: float
 
 
-def weigh(
+def evaluate(
     need: Need, engine: Engine, reading: ReadingTimes, waits: LoadWaits, now: float
 ) -> Option:
     """Return an engine with the expected wait and cost of a call."""
-    pace = reading.estimate(engine.endpoint.id, now)
+    token_time = reading.estimate(engine.endpoint.id, now)
     delay = waits.estimate(engine.source, now)
-    price = STORE_PRICE if engine.source is Source.STORE else 0.0
+    extra_cost = STORE_COST if engine.source is Source.STORE else 0.0
     if engine.source is not Source.HELD:
         delay += engine.queue
     if engine.source is not Source.HELD and engine.places <= 0:
         delay += waits.estimate_place(now) * (1 - engine.places)
     # The prompts ahead are read while the adapter is loaded.
-    expected = max(delay, engine.wait, pace * engine.ahead) + pace * need.tokens
-    if engine.is_spared:
+    expected = (
+        max(delay, engine.wait, token_time * engine.ahead) + token_time * need.tokens
+    )
+    if engine.is_reserved:
         is_held = engine.source is Source.HELD
-        price += SPARED_PRICE if is_held else SPARED_LOAD_PRICE
+        extra_cost += RESERVED_COST if is_held else RESERVED_LOAD_COST
     if engine.source is not Source.HELD:
-        price += PLACE_PRICE / max(1, engine.places)
+        extra_cost += LAST_SLOT_COST / max(1, engine.places)
     if engine.source is Source.STORE:
-        price += RANK_PRICE * engine.rank
+        extra_cost += RANK_COST * engine.rank
     if engine.endpoint.zone != need.zone:
-        price += ZONE_PRICE
-    return Option(engine, expected, expected + price)
+        extra_cost += ZONE_COST
+    return Option(engine, expected, expected + extra_cost)
 
 
 def choose_engine(
@@ -111,10 +113,12 @@
 ) -> Option | None:
     """Return the best engine of those that can run the call, or None."""
     options = [
-        weigh(need, engine, reading, waits, now)
+        evaluate(need, engine, reading, waits, now)
         for engine in engines
         if engine.source is Source.HELD or engine.can_load
     ]
     return min(
-        options, key=lambda one: (one.cost, one.engine.endpoint.id), default=None
+        options,
+        key=lambda option: (option.cost, option.engine.endpoint.id),
+        default=None,
     )
--- a/roadlift/decisions/reading.py
+++ b/roadlift/decisions/reading.py
@@ -12,40 +12,40 @@
 # Seconds a prompt token before the first sample: the order of magnitude at
 # which one current accelerator reads prompts of a large model. An initial
 # value that is wrong by a factor of three is corrected after a few calls.
-FIRST_GUESS = 30e-6
+INITIAL_ESTIMATE = 30e-6
 # Tokens from which a call's time to its first event shows how fast its engine
 # reads: below, the fixed costs of a call outweigh the reading.
-LEAST_TOKENS = 1000
+MIN_TOKENS = 1000
 HALF_LIFE = 5.0  # Seconds in which a sample loses half its weight.
 # Weight, in samples, of the service's mean in the estimate of one engine.
 SHARED_WEIGHT = 2.0
 # Largest factor between a sample and the estimate: a call that waited for
 # something not modelled here must not make its engine look slow for long.
-MOST_STEP = 3.0
+MAX_STEP = 3.0
 
 
 class _Mean:
     """A decaying mean of samples."""
 
-    __slots__ = ("noted_at", "total", "weight")
+    __slots__ = ("updated_at", "total", "weight")
 
     def __init__(self) -> None:
-        self.noted_at = 0.0
+        self.updated_at = 0.0
         self.total = 0.0
         self.weight = 0.0
 
     def note(self, value: float, now: float) -> None:
         """Add a sample."""
-        fade = math.exp2((self.noted_at - now) / HALF_LIFE)
-        self.total = self.total * fade + value
-        self.weight = self.weight * fade + 1.0
-        self.noted_at = now
+        decay = math.exp2((self.updated_at - now) / HALF_LIFE)
+        self.total = self.total * decay + value
+        self.weight = self.weight * decay + 1.0
+        self.updated_at = now
 
-    def measure_weight(self, now: float) -> float:
+    def compute_weight(self, now: float) -> float:
         """Return the current weight of the samples."""
-        return self.weight * math.exp2((self.noted_at - now) / HALF_LIFE)
+        return self.weight * math.exp2((self.updated_at - now) / HALF_LIFE)
 
-    def measure_mean(self) -> float:
+    def compute_mean(self) -> float:
         """Return the mean of the samples."""
         return self.total / self.weight
 
@@ -62,21 +62,21 @@
 
         ``tokens`` is the number of its own tokens and those ahead of it.
         """
-        if tokens < LEAST_TOKENS:
+        if tokens < MIN_TOKENS:
             return
         known = self.estimate(endpoint, now)
-        value = min(max(seconds / tokens, known / MOST_STEP), known * MOST_STEP)
+        value = min(max(seconds / tokens, known / MAX_STEP), known * MAX_STEP)
         self._engines.setdefault(endpoint, _Mean()).note(value, now)
         self._all.note(value, now)
 
     def estimate(self, endpoint: str, now: float) -> float:
         """Return an engine's seconds a token."""
-        usual = self._all.measure_mean() if self._all.weight else FIRST_GUESS
+        usual = self._all.compute_mean() if self._all.weight else INITIAL_ESTIMATE
         mean = self._engines.get(endpoint)
         if mean is None:
             return usual
-        weight = mean.measure_weight(now)
-        total = weight * mean.measure_mean() + SHARED_WEIGHT * usual
+        weight = mean.compute_weight(now)
+        total = weight * mean.compute_mean() + SHARED_WEIGHT * usual
         return total / (weight + SHARED_WEIGHT)
 
     def forget(self, known: Collection[str]) -> None:
--- a/roadlift/decisions/resending.py
+++ b/roadlift/decisions/resending.py
@@ -17,12 +17,12 @@
 from roadlift.serving.routes import Route
 
 # Maximum sends of one call, including those that did not run.
-MOST_SENDS = 4
+MAX_SENDS = 4
 # Maximum further sends that reached no endpoint: a network cut removes most of
 # a service's endpoints, and each instance notices them one by one.
-MOST_UNREACHED = 8
+MAX_UNREACHED = 8
 # Seconds that must be left of a call's time to begin a further send.
-LEAST_TIME = 0.02
+MIN_TIME_LEFT = 0.02
 
 
 class Sends(NamedTuple):
@@ -48,12 +48,12 @@
     spend_budget: Callable[[], bool],
 ) -> str | None:
     """Return why a call is not sent again after an error, or None."""
-    if sends.time_left < LEAST_TIME:
+    if sends.time_left < MIN_TIME_LEFT:
         return "no time left"
     if isinstance(error, EndpointUnreachable):
         # Nothing arrived there, so the next send spends no budget.
-        return "unreached too often" if sends.unreached > MOST_UNREACHED else None
-    if sends.count - sends.unreached >= MOST_SENDS:
+        return "unreached too often" if sends.unreached > MAX_UNREACHED else None
+    if sends.count - sends.unreached >= MAX_SENDS:
         return "sent too often"
     if error.outcome is not Outcome.NOT_RUN:
         if not route.is_repeatable:
--- a/roadlift/decisions/silence.py
+++ b/roadlift/decisions/silence.py
@@ -10,72 +10,76 @@
 
 # Seconds without a byte on any generating stream of an engine after which it
 # is abandoned: about ten times the longest usual time between two events.
-SILENCE = 0.6
+INACTIVITY_TIMEOUT = 0.6
 # Longest time between two checks, in seconds. If it was longer, this process
 # itself was suspended, and bytes that it did not read say nothing about
 # engines.
-MOST_GAP = 0.3
+MAX_CHECK_INTERVAL = 0.3
 
 
-class _Watched:
+class _MonitoredEngine:
     """This process's calls at an engine, and when it last responded."""
 
-    __slots__ = ("calls", "generating", "heard_at")
+    __slots__ = ("calls", "generating", "last_event_at")
 
     def __init__(self, now: float) -> None:
         self.calls: dict[object, Callable[[], None]] = {}
         self.generating: set[object] = set()
-        self.heard_at = now
+        self.last_event_at = now
 
 
 class SilenceWatch:
     """The calls of this process at engines, to detect unresponsive engines."""
 
-    def __init__(self, silence: float = SILENCE) -> None:
-        self._silence = silence
-        self._engines: dict[str, _Watched] = {}
-        self._looked_at: float | None = None
+    def __init__(self, timeout: float = INACTIVITY_TIMEOUT) -> None:
+        self._timeout = timeout
+        self._engines: dict[str, _MonitoredEngine] = {}
+        self._checked_at: float | None = None
 
     def begin(
-        self, endpoint: str, call: object, on_silent: Callable[[], None], now: float
+        self,
+        endpoint: str,
+        call: object,
+        on_unresponsive: Callable[[], None],
+        now: float,
     ) -> None:
         """Monitor a call that was sent; ``on_unresponsive`` makes it leave."""
-        watched = self._engines.setdefault(endpoint, _Watched(now))
-        watched.calls[call] = on_silent
+        monitored = self._engines.setdefault(endpoint, _MonitoredEngine(now))
+        monitored.calls[call] = on_unresponsive
 
     def note_event(self, endpoint: str, call: object, now: float) -> None:
         """Record an event of a call, which generates from now on."""
-        watched = self._engines.get(endpoint)
-        if watched is not None:
-            watched.generating.add(call)
-            watched.heard_at = now
+        monitored = self._engines.get(endpoint)
+        if monitored is not None:
+            monitored.generating.add(call)
+            monitored.last_event_at = now
 
     def end(self, endpoint: str, call: object) -> None:
         """Stop monitoring a call."""
-        watched = self._engines.get(endpoint)
-        if watched is None:
+        monitored = self._engines.get(endpoint)
+        if monitored is None:
             return
-        watched.calls.pop(call, None)
-        watched.generating.discard(call)
-        if not watched.calls:
+        monitored.calls.pop(call, None)
+        monitored.generating.discard(call)
+        if not monitored.calls:
             del self._engines[endpoint]
 
     def find_silent(self, now: float) -> list[str]:
         """Return the engines that stopped responding while they generate."""
-        last, self._looked_at = self._looked_at, now
-        if last is None or now - last > MOST_GAP:
-            for watched in self._engines.values():
-                watched.heard_at = now
+        last, self._checked_at = self._checked_at, now
+        if last is None or now - last > MAX_CHECK_INTERVAL:
+            for monitored in self._engines.values():
+                monitored.last_event_at = now
             return []
         return [
             name
-            for name, watched in self._engines.items()
-            if watched.generating and now - watched.heard_at > self._silence
+            for name, monitored in self._engines.items()
+            if monitored.generating and now - monitored.last_event_at > self._timeout
         ]
 
     def leave(self, endpoint: str) -> None:
         """Make all calls leave an engine."""
-        watched = self._engines.get(endpoint)
-        if watched is not None:
-            for on_silent in list(watched.calls.values()):
-                on_silent()
+        monitored = self._engines.get(endpoint)
+        if monitored is not None:
+            for on_unresponsive in list(monitored.calls.values()):
+                on_unresponsive()
--- a/roadlift/decisions/spread.py
+++ b/roadlift/decisions/spread.py
@@ -21,28 +21,28 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from roadlift.decisions.rates import Level, Rate
+from roadlift.decisions.rates import LevelMean, Rate
 from roadlift.serving.directory import Endpoint
 
 # Window in seconds of the means of calls in progress and of rates: some calls
 # for each slot; a burst is followed within the second.
-SPAN = 0.4
+WINDOW = 0.4
 # Fraction of a zone's slots that its own calls may keep busy before any are
 # sent to remote zones; the rest is for bursts within the window.
-KEPT_PART = 0.6
+LOCAL_FRACTION = 0.6
 # Fraction of a call's objective that the calls before it may take, waiting and
 # running, by how many are in progress and served a second; the rest allows for
 # differences between endpoints and between calls.
-FULL_PART = 0.6
+OBJECTIVE_FRACTION = 0.6
 # Calls in progress for each slot up to which a failed call is sent again:
 # beyond that, a second attempt takes the slot of a first one.
 SPARE_FILL = 0.8
 # Seconds in which the excess in the queues is to be worked off.
-SETTLE = 0.5
+SETTLE_TIME = 0.5
 # Seconds after which received loads are no longer used.
 NEWS_LIMIT = 1.2
 # Shortest time until a refused caller comes back, in seconds.
-LEAST_RETURN = 0.15
+MIN_RETURN_DELAY = 0.15
 
 
 class ServiceLoad(NamedTuple):
@@ -64,9 +64,9 @@
     """The calls of one instance to one service."""
 
     def __init__(self, now: float) -> None:
-        self._busy = Level(SPAN, now)
-        self._asked = Rate(SPAN, now)
-        self._served = Rate(SPAN, now)
+        self._busy = LevelMean(WINDOW, now)
+        self._asked = Rate(WINDOW, now)
+        self._served = Rate(WINDOW, now)
 
     def note_asked(self, now: float) -> None:
         """Count a call that arrived, whatever its outcome."""
@@ -91,8 +91,8 @@
         )
 
 
-def share_out(
-    home: str, busy: Mapping[str, float], slots: Mapping[str, float]
+def compute_zone_fractions(
+    local_zone: str, busy: Mapping[str, float], slots: Mapping[str, float]
 ) -> dict[str, float]:
     """Return the fraction of a zone's calls that goes to each zone.
 
@@ -100,53 +100,55 @@
     ``slots`` the number that each zone's endpoints run at once.
     """
     total = sum(slots.values())
-    level = max(KEPT_PART, sum(busy.values()) / total)
-    own = busy.get(home, 0.0)
-    room = level * slots.get(home, 0.0)
-    if own <= room:
-        return {home: 1.0}
+    level = max(LOCAL_FRACTION, sum(busy.values()) / total)
+    local_busy = busy.get(local_zone, 0.0)
+    capacity = level * slots.get(local_zone, 0.0)
+    if local_busy <= capacity:
+        return {local_zone: 1.0}
     spare = {
         zone: max(0.0, level * count - busy.get(zone, 0.0))
         for zone, count in slots.items()
-        if zone != home
+        if zone != local_zone
     }
-    most = sum(spare.values())
-    if not most:
+    total_spare = sum(spare.values())
+    if not total_spare:
         return {zone: count / total for zone, count in slots.items()}
-    abroad = (own - room) / own
-    parts = {zone: abroad * one / most for zone, one in spare.items()}
-    return {home: 1.0 - abroad, **parts}
+    remote = (local_busy - capacity) / local_busy
+    fractions = {zone: remote * count / total_spare for zone, count in spare.items()}
+    return {local_zone: 1.0 - remote, **fractions}
 
 
-def measure_part(load: ServiceLoad, slots: float, objective: float) -> float:
+def compute_admitted_fraction(
+    load: ServiceLoad, slots: float, objective: float
+) -> float:
     """Return the fraction of the calls that can be admitted.
 
     It is 1 while fewer calls are in progress than there are slots.
     """
-    excess = load.busy - max(slots, FULL_PART * objective * load.served)
+    excess = load.busy - max(slots, OBJECTIVE_FRACTION * objective * load.served)
     if excess <= 0 or not load.asked:
         return 1.0
-    return min(1.0, max(0.0, load.served - excess / SETTLE) / load.asked)
+    return min(1.0, max(0.0, load.served - excess / SETTLE_TIME) / load.asked)
 
 
 class ServiceSpread:
     """The load of plain services as known to one instance."""
 
-    def __init__(self, home: str, rng: random.Random) -> None:
-        self._home = home
+    def __init__(self, local_zone: str, rng: random.Random) -> None:
+        self._local_zone = local_zone
         self._rng = rng
         self._loads: Mapping[str, Mapping[str, ServiceLoad]] = {}
-        self._heard_at = float("-inf")
+        self._received_at = float("-inf")
 
     def note_news(
         self, loads: Mapping[str, Mapping[str, ServiceLoad]], now: float
     ) -> None:
         """Replace the loads, by service and by zone of the instances."""
         self._loads = loads
-        self._heard_at = now
+        self._received_at = now
 
     def _find(self, service: str, now: float) -> Mapping[str, ServiceLoad]:
-        is_old = now - self._heard_at > NEWS_LIMIT
+        is_old = now - self._received_at > NEWS_LIMIT
         return {} if is_old else self._loads.get(service, {})
 
     def choose_zone(
@@ -155,13 +157,15 @@
         """Return the zone for a call, or None if too little is known."""
         loads = self._find(service, now)
         slots: dict[str, float] = {}
-        for one in endpoints:
-            slots[one.zone] = slots.get(one.zone, 0.0) + max(1, one.slots)
+        for endpoint in endpoints:
+            slots[endpoint.zone] = slots.get(endpoint.zone, 0.0) + max(
+                1, endpoint.slots
+            )
         if not loads or not slots:
             return None
         busy = {zone: load.busy for zone, load in loads.items()}
-        parts = share_out(self._home, busy, slots)
-        return self._rng.choices(list(parts), list(parts.values()))[0]
+        fractions = compute_zone_fractions(self._local_zone, busy, slots)
+        return self._rng.choices(list(fractions), list(fractions.values()))[0]
 
     def measure_fill(
         self, service: str, endpoints: Sequence[Endpoint], now: float
@@ -187,7 +191,7 @@
         for load in self._find(service, now).values():
             total = total.add(load)
         slots = sum(max(1, one.slots) for one in endpoints)
-        if self._rng.random() < measure_part(total, slots, objective):
+        if self._rng.random() < compute_admitted_fraction(total, slots, objective):
             return None
         queued = (total.busy - slots) / total.served if total.served else 1.0
-        return max(LEAST_RETURN, queued) * (1.0 + self._rng.random())
+        return max(MIN_RETURN_DELAY, queued) * (1.0 + self._rng.random())
--- a/roadlift/decisions/standing.py
+++ b/roadlift/decisions/standing.py
@@ -13,20 +13,20 @@
 # Fraction of the time for which a draining endpoint accepts calls in which it
 # gets those that no other can run: the rest of it is for their runs, and for
 # the time since other instances received its drain notice.
-LAST_RESORT_PART = 0.5
+LAST_RESORT_FRACTION = 0.5
 # Seconds without a rejection after which a call counts as accepted: an
 # endpoint rejects calls at once.
-TRIAL = 0.25
+TRIAL_TIME = 0.25
 # Calls at once after a back-off at which its slow start is over.
-MOST_TRIALS = 16
+MAX_TRIALS = 16
 # Jitter of a back-off, as a fraction of it and in seconds at most: an instance
 # extends its back-off by up to this, so that not all come back at the same
 # moment.
-SPREAD_PART = 0.25
-MOST_SPREAD = 1.0
+JITTER_FRACTION = 0.25
+MAX_JITTER = 1.0
 # Longest back-off in seconds: if the endpoint announced an implausible number,
 # one call an hour shows whether it still requests a back-off.
-MOST_REST = 3600.0
+MAX_BACKOFF = 3600.0
 
 
 class Standing:
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.left_at: float | None = None
         self.rest_until = float("-inf")
-        self._most_trials = MOST_TRIALS
+        self._max_trials = MAX_TRIALS
         self._trials: list[float] = []  # Times of sends without an answer yet.
 
     def note_leaving(self, now: float) -> bool:
@@ -50,17 +50,17 @@
 
         ``draw``, from 0 to 1, is this instance's random number for the jitter.
         """
-        seconds = min(MOST_REST, seconds)
-        until = now + seconds + draw * min(MOST_SPREAD, SPREAD_PART * seconds)
+        seconds = min(MAX_BACKOFF, seconds)
+        until = now + seconds + draw * min(MAX_JITTER, JITTER_FRACTION * seconds)
         is_longer = until > self.rest_until
         self.rest_until = max(self.rest_until, until)
-        self._most_trials = 1
+        self._max_trials = 1
         self._trials.clear()
         return is_longer
 
     def note_send(self, now: float) -> None:
         """Count a send; during a slow start it is a trial."""
-        if self._most_trials < MOST_TRIALS:
+        if self._max_trials < MAX_TRIALS:
             self._trials.append(now)
 
     def note_taken(self, sent_at: float) -> None:
@@ -70,17 +70,17 @@
         """
         if sent_at >= self.rest_until and self._trials:
             self._trials.pop(0)
-            self._most_trials += 1
+            self._max_trials += 1
 
     def measure_rest(self, now: float) -> float:
         """Return the seconds until a call may be tried there."""
         if now < self.rest_until:
             return self.rest_until - now
-        while self._trials and now - self._trials[0] >= TRIAL:
+        while self._trials and now - self._trials[0] >= TRIAL_TIME:
             self.note_taken(now)
-        if len(self._trials) < self._most_trials:
+        if len(self._trials) < self._max_trials:
             return 0.0
-        return self._trials[0] + TRIAL - now
+        return self._trials[0] + TRIAL_TIME - now
 
     def is_last_resort(self, drain: float, now: float) -> bool:
         """Return whether it drains and still accepts what no other can run.
@@ -90,7 +90,7 @@
         """
         if self.left_at is None:
             return False
-        return now - self.left_at < LAST_RESORT_PART * drain
+        return now - self.left_at < LAST_RESORT_FRACTION * drain
 
     def may_send(self, drain: float, now: float) -> bool:
         """Return whether a call that was placed there may still be sent."""
--- a/roadlift/decisions/urgency.py
+++ b/roadlift/decisions/urgency.py
@@ -54,8 +54,8 @@
         """Return the sort key of load requests; the smallest goes first."""
         if self.due < now:
             return True, self.since
-        behind = PRIORITY_STEP * self.priority + HOLD_STEP * self.hold
-        return False, self.due + behind
+        penalty = PRIORITY_STEP * self.priority + HOLD_STEP * self.hold
+        return False, self.due + penalty
 
 
 def merge_want(known: Want | None, urgency: Urgency, now: float, since: float) -> Want:
--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -13,11 +13,11 @@
 
 # Fraction by which an engine's calls, or its unread prompt tokens, must differ
 # from the last report to be reported again, and the minimum change in tokens.
-TOLD_PART = 0.2
-TOLD_TOKENS = 512
+REPORT_FRACTION = 0.2
+REPORT_MIN_TOKENS = 512
 # Adapter slots of an engine without a report: enough to send a request.
-UNTOLD_PLACES = 1
-TELL_ALL_PERIOD = 2.0  # Seconds between reports of the loads of all engines.
+UNREPORTED_SLOTS = 1
+FULL_REPORT_INTERVAL = 2.0  # Seconds between reports of the loads of all engines.
 
 
 class EngineLoad(NamedTuple):
@@ -35,14 +35,19 @@
     loads: int = 0
     load_time: float = FIRST_DURATION
 
-    def differs(self, told: "EngineLoad") -> bool:
-        """Return whether subscribers should receive this load."""
-        calls = abs(self.running - told.running) > TOLD_PART * told.running
-        change = abs(self.reading - told.reading)
-        tokens = change > max(TOLD_TOKENS, TOLD_PART * told.reading)
-        is_same = (self.places, self.loads) == (told.places, told.loads)
-        pace = abs(self.load_time - told.load_time) > TOLD_PART * told.load_time
-        return calls or tokens or pace or not is_same
+    def differs(self, reported: "EngineLoad") -> bool:
+        """Return whether subscribers need a report of this load."""
+        calls = (
+            abs(self.running - reported.running) > REPORT_FRACTION * reported.running
+        )
+        change = abs(self.reading - reported.reading)
+        tokens = change > max(REPORT_MIN_TOKENS, REPORT_FRACTION * reported.reading)
+        is_same = (self.places, self.loads) == (reported.places, reported.loads)
+        load_time_change = (
+            abs(self.load_time - reported.load_time)
+            > REPORT_FRACTION * reported.load_time
+        )
+        return calls or tokens or load_time_change or not is_same
 
 
 class ToldLoads:
@@ -58,7 +63,7 @@
         All loads are reported once per FULL_REPORT_INTERVAL, as a message may
         have been dropped.
         """
-        if now - self._all_at >= TELL_ALL_PERIOD:
+        if now - self._all_at >= FULL_REPORT_INTERVAL:
             self._all_at = now
             self._loads.clear()
         changed = []
@@ -70,22 +75,22 @@
         return changed
 
 
-class _Told(NamedTuple):
+class _ReportedLoad(NamedTuple):
     """A load as reported by a zone's owner, and the local load then."""
 
     load: EngineLoad
     zone: str
-    own_running: int
-    own_reading: int
+    local_running: int
+    local_reading: int
 
 
 class Workload:
     """The loads of engines as known to one process."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _ReportedLoad] = {}
         self._reading: dict[str, int] = {}
-        self._silent_zones: set[str] = set()
+        self._ignored_zones: set[str] = set()
 
     def change_reading(self, endpoint: str, tokens: int) -> None:
         """Add prompt tokens that were sent; negative if they were read."""
@@ -96,68 +101,70 @@
         return self._reading.get(endpoint, 0)
 
     def note_told(
-        self, endpoint: str, zone: str, load: EngineLoad, own_running: int
+        self, endpoint: str, zone: str, load: EngineLoad, local_running: int
     ) -> None:
         """Record an owner's report, and the local load at that time."""
-        own_reading = self.count_own_reading(endpoint)
-        self._told[endpoint] = _Told(load, zone, own_running, own_reading)
+        local_reading = self.count_own_reading(endpoint)
+        self._reports[endpoint] = _ReportedLoad(
+            load, zone, local_running, local_reading
+        )
 
     def pass_over(self, zones: Collection[str]) -> None:
         """Ignore the reports for zones whose owners stopped responding."""
-        self._silent_zones = set(zones)
+        self._ignored_zones = set(zones)
 
-    def _find_told(self, endpoint: str) -> _Told | None:
-        told = self._told.get(endpoint)
-        return None if told is None or told.zone in self._silent_zones else told
+    def _find_report(self, endpoint: str) -> _ReportedLoad | None:
+        report = self._reports.get(endpoint)
+        return None if report is None or report.zone in self._ignored_zones else report
 
     def take_place(self, endpoint: str) -> None:
         """Count a load that this process requested, and its slot."""
-        told = self._told.get(endpoint)
-        if told is not None:
-            load = told.load._replace(
-                places=told.load.places - 1, loads=told.load.loads + 1
+        report = self._reports.get(endpoint)
+        if report is not None:
+            load = report.load._replace(
+                places=report.load.places - 1, loads=report.load.loads + 1
             )
-            self._told[endpoint] = told._replace(load=load)
+            self._reports[endpoint] = report._replace(load=load)
 
     def deny_place(self, endpoint: str) -> None:
         """Record that an engine had no free slot."""
-        told = self._told.get(endpoint)
-        if told is not None:
-            load = told.load._replace(places=min(told.load.places, 0))
-            self._told[endpoint] = told._replace(load=load)
+        report = self._reports.get(endpoint)
+        if report is not None:
+            load = report.load._replace(places=min(report.load.places, 0))
+            self._reports[endpoint] = report._replace(load=load)
 
     def count_ahead(self, endpoint: str) -> int:
         """Return an estimate of the prompt tokens to be read at an engine."""
-        own = self.count_own_reading(endpoint)
-        told = self._find_told(endpoint)
-        if told is None:
-            return own
-        return max(own, told.load.reading + own - told.own_reading)
+        local = self.count_own_reading(endpoint)
+        report = self._find_report(endpoint)
+        if report is None:
+            return local
+        return max(local, report.load.reading + local - report.local_reading)
 
-    def count_running(self, endpoint: str, own: int) -> int:
+    def count_running(self, endpoint: str, local: int) -> int:
         """Return an estimate of the calls that run at an engine.
 
         ``local`` is the number of this process's calls among them.
         """
-        told = self._find_told(endpoint)
-        if told is None:
-            return own
-        return max(own, told.load.running + own - told.own_running)
+        report = self._find_report(endpoint)
+        if report is None:
+            return local
+        return max(local, report.load.running + local - report.local_running)
 
     def count_places(self, endpoint: str) -> int:
         """Return the number of free adapter slots of an engine."""
-        told = self._find_told(endpoint)
-        return UNTOLD_PLACES if told is None else told.load.places
+        report = self._find_report(endpoint)
+        return UNREPORTED_SLOTS if report is None else report.load.places
 
     def measure_queue(self, endpoint: str) -> float:
         """Return the seconds until a further load begins at an engine."""
-        told = self._find_told(endpoint)
-        if told is None:
+        report = self._find_report(endpoint)
+        if report is None:
             return 0.0
-        return measure_queue(told.load.loads, told.load.load_time)
+        return measure_queue(report.load.loads, report.load.load_time)
 
     def forget(self, known: Collection[str]) -> None:
         """Drop the engines that no longer exist."""
-        for endpoint in (set(self._told) | set(self._reading)) - set(known):
-            self._told.pop(endpoint, None)
+        for endpoint in (set(self._reports) | set(self._reading)) - set(known):
+            self._reports.pop(endpoint, None)
             self._reading.pop(endpoint, None)
--- a/roadlift/organisations/fleet.py
+++ b/roadlift/organisations/fleet.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from roadlift.organisations.shares import FREE_PART, MOST_DEBT, NEWS_LIMIT, Limits
+from roadlift.organisations.shares import FREE_FRACTION, MAX_DEBT, STATE_MAX_AGE, Limits
 from roadlift.serving.routes import Allowance
 
 # Demand a second below which a usage is no longer reported: a call that counts
@@ -44,56 +44,65 @@
     counted: float
 
 
-class _Teller:
+class _Reporter:
     """The last report of one instance, or of another aggregator."""
 
-    __slots__ = ("_presumed_at", "counted", "heard_at", "members", "process", "uses")
+    __slots__ = (
+        "_extrapolated_at",
+        "counted",
+        "reported_at",
+        "members",
+        "process",
+        "uses",
+    )
 
     def __init__(self, process: int, now: float) -> None:
         self.process = process
-        self.heard_at = now
+        self.reported_at = now
         self.members = 0
         self.uses: dict[str, Use] = {}
         self.counted: dict[str, float] = {}
-        self._presumed_at = now
+        self._extrapolated_at = now
 
-    def take(self, uses: Iterable[Use], is_first: bool, now: float) -> Iterator[Use]:
+    def apply_report(
+        self, uses: Iterable[Use], is_first: bool, now: float
+    ) -> Iterator[Use]:
         """Apply a report; yield what was used since the last one.
 
         The first report is the starting point: other aggregators may have
         counted what was used before it.
         """
-        self.heard_at = self._presumed_at = now
+        self.reported_at = self._extrapolated_at = now
         self.uses = {use.name: use for use in uses}
         for use in self.uses.values():
             before = self.counted.get(use.name, use.spent if is_first else 0.0)
             self.counted[use.name] = use.spent
             yield use._replace(spent=use.spent - before)
 
-    def presume(self, now: float) -> Iterator[Use]:
+    def extrapolate(self, now: float) -> Iterator[Use]:
         """Yield the assumed usage if there was no report for a while."""
-        if now - self.heard_at < NEWS_LIMIT:
+        if now - self.reported_at < STATE_MAX_AGE:
             return
-        seconds, self._presumed_at = now - self._presumed_at, now
+        seconds, self._extrapolated_at = now - self._extrapolated_at, now
         for use in self.uses.values():
             amount = use.demand * seconds
             self.counted[use.name] = self.counted.get(use.name, 0.0) + amount
             yield use._replace(spent=amount)
 
 
-class _Level:
+class _TokenBucket:
     """What is left of a burst; it rises at the rate."""
 
-    __slots__ = ("_advanced_at", "value")
+    __slots__ = ("_refilled_at", "value")
 
     def __init__(self, now: float) -> None:
-        self._advanced_at = now
+        self._refilled_at = now
         self.value = 0.0
 
-    def advance(self, rate: float, burst: float, now: float) -> None:
+    def refill(self, rate: float, burst: float, now: float) -> None:
         """Refill up to the burst."""
-        self.value = min(burst, self.value + rate * (now - self._advanced_at))
-        self._advanced_at = now
+        self.value = min(burst, self.value + rate * (now - self._refilled_at))
+        self._refilled_at = now
 
 
 class FleetUse:
@@ -102,17 +111,17 @@
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._allowances: Mapping[str, Allowance] = {}
-        self._members: dict[str, _Teller] = {}
-        self._others: dict[str, _Teller] = {}
+        self._members: dict[str, _Reporter] = {}
+        self._others: dict[str, _Reporter] = {}
         self._totals: dict[str, float] = {}
-        self._levels: dict[str, _Level] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._instances = 0
-        self._is_whole = False
+        self._is_complete = False
 
     def set_allowances(self, allowances: Mapping[str, Allowance]) -> None:
         """Replace the allowances; counted usage is kept."""
         self._allowances = allowances
-        for known in (self._levels, self._totals):
+        for known in (self._buckets, self._totals):
             for name in set(known) - set(allowances):
                 del known[name]
 
@@ -122,7 +131,7 @@
         self, address: str, process: int, uses: Iterable[Use], now: float
     ) -> None:
         """Apply the report of a process at an address on its own usage."""
-        for use in self._note(self._members, address, process, uses, now):
+        for use in self._apply_report(self._members, address, process, uses, now):
             self._count(use, now)
 
     def note_other(
@@ -134,23 +143,23 @@
         now: float,
     ) -> None:
         """Apply another aggregator's report on the usage of its members."""
-        for use in self._note(self._others, address, process, uses, now):
+        for use in self._apply_report(self._others, address, process, uses, now):
             self._spend(use, now)
         self._others[address].members = members
 
-    def _note(
+    def _apply_report(
         self,
-        tellers: dict[str, _Teller],
+        reporters: dict[str, _Reporter],
         address: str,
         process: int,
         uses: Iterable[Use],
         now: float,
     ) -> Iterator[Use]:
-        known = tellers.get(address)
+        known = reporters.get(address)
         is_first = known is None or known.process != process
         if is_first:
-            known = tellers[address] = _Teller(process, now)
-        return known.take(uses, is_first, now)
+            known = reporters[address] = _Reporter(process, now)
+        return known.apply_report(uses, is_first, now)
 
     def _count(self, use: Use, now: float) -> None:
         """Count the usage of a member, to report it to other aggregators."""
@@ -161,9 +170,9 @@
         allowance = self._allowances.get(use.name)
         if allowance is None:
             return
-        level = self._advance(use.name, allowance, now)
-        most_debt = allowance.rate * MOST_DEBT
-        level.value = max(-most_debt, level.value - use.spent)
+        bucket = self._refill(use.name, allowance, now)
+        max_debt = allowance.rate * MAX_DEBT
+        bucket.value = max(-max_debt, bucket.value - use.spent)
 
     def forget_member(self, address: str) -> None:
         """Drop an instance that now reports to another aggregator."""
@@ -174,19 +183,19 @@
         expected = set(addresses)
         for address in set(self._others) - expected:
             del self._others[address]
-        self._presume(now)
+        self._extrapolate(now)
         others = self._others.values()
-        heard = sum(now - one.heard_at < NEWS_LIMIT for one in others)
-        self._is_whole = heard == len(expected)
-        if self._is_whole:
+        reporting = sum(now - one.reported_at < STATE_MAX_AGE for one in others)
+        self._is_complete = reporting == len(expected)
+        if self._is_complete:
             self._instances = len(self._members) + sum(one.members for one in others)
 
-    def _presume(self, now: float) -> None:
+    def _extrapolate(self, now: float) -> None:
         """Count the assumed usage of inactive members; drop expired ones."""
         for address, member in list(self._members.items()):
-            for use in member.presume(now):
+            for use in member.extrapolate(now):
                 self._count(use, now)
-            if now - member.heard_at > self._limits.window:
+            if now - member.reported_at > self._limits.window:
                 del self._members[address]
 
     # Results.
@@ -211,55 +220,55 @@
         free.
         """
         member = self._members.get(address)
-        demands = self._measure_demands()
-        part = self._measure_part()
+        demands = self._compute_demands()
+        fraction = self._compute_fraction()
         found = []
         for name, allowance in self._allowances.items():
-            level = self._advance(name, allowance, now)
-            least = FREE_PART * allowance.burst * part
-            is_free = part > 0 and level.value >= least
+            bucket = self._refill(name, allowance, now)
+            min_level = FREE_FRACTION * allowance.burst * fraction
+            is_free = fraction > 0 and bucket.value >= min_level
             is_used = member is not None and name in member.uses
             if is_free and not is_used:
                 continue
             demand = demands.get(name, 0.0)
             counted = member.counted.get(name, 0.0) if member else 0.0
-            state = FleetState(name, is_free, part, demand, level.value, counted)
+            state = FleetState(name, is_free, fraction, demand, bucket.value, counted)
             found.append(state)
         return found
 
-    def _advance(self, name: str, allowance: Allowance, now: float) -> _Level:
+    def _refill(self, name: str, allowance: Allowance, now: float) -> _TokenBucket:
         """Return what is left of an allowance now."""
-        level = self._levels.get(name)
-        if level is None:
-            level = self._levels[name] = _Level(now)
-        part = self._measure_part()
-        burst = allowance.burst + self._limits.lump
-        level.advance(allowance.rate * part, burst * part, now)
-        return level
-
-    def _measure_part(self) -> float:
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            bucket = self._buckets[name] = _TokenBucket(now)
+        fraction = self._compute_fraction()
+        burst = allowance.burst + self._limits.extra_burst
+        bucket.refill(allowance.rate * fraction, burst * fraction, now)
+        return bucket
+
+    def _compute_fraction(self) -> float:
         """Return the fraction of allowances that this aggregator speaks for.
 
         If other aggregators do not report, this is its members' fraction of
         the number of instances at the time when all did.
         """
-        if self._is_whole:
+        if self._is_complete:
             return self._limits.factor
         if not self._instances:
             return 0.0
         return min(1.0, len(self._members) / self._instances)
 
-    def _measure_demands(self) -> dict[str, float]:
+    def _compute_demands(self) -> dict[str, float]:
         """Return the demand a second that this aggregator speaks for."""
         demands: dict[str, float] = {}
         self._add_demands(self._members, demands)
-        if self._is_whole:
+        if self._is_complete:
             self._add_demands(self._others, demands)
         return demands
 
     def _add_demands(
-        self, tellers: Mapping[str, _Teller], demands: dict[str, float]
+        self, reporters: Mapping[str, _Reporter], demands: dict[str, float]
     ) -> None:
-        for teller in tellers.values():
-            for use in teller.uses.values():
+        for reporter in reporters.values():
+            for use in reporter.uses.values():
                 demands[use.name] = demands.get(use.name, 0.0) + use.demand
--- a/roadlift/organisations/freshness.py
+++ b/roadlift/organisations/freshness.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._position = NOWHERE
         self._settled_at = float("-inf")
-        self._lacking: RelayedState | None = None
+        self._pending: RelayedState | None = None
         self.known_at = float("-inf")
 
     def note_return(self, settled_at: float) -> None:
@@ -55,15 +55,15 @@
         if state.position <= self._position:
             self.known_at = max(self.known_at, state.known_at)
         else:
-            self._lacking = state
+            self._pending = state
 
     def note_position(self, position: StorePosition) -> None:
         """Record that all rows up to a position are known here."""
         self._position = max(self._position, position)
-        lacking = self._lacking
-        if lacking is not None and lacking.position <= self._position:
-            self._lacking = None
-            self.known_at = max(self.known_at, lacking.known_at)
+        pending = self._pending
+        if pending is not None and pending.position <= self._position:
+            self._pending = None
+            self.known_at = max(self.known_at, pending.known_at)
 
     def measure_age(self, now: float) -> float:
         """Return the seconds for which a change may have gone unnoticed."""
--- a/roadlift/organisations/keys.py
+++ b/roadlift/organisations/keys.py
@@ -28,7 +28,7 @@
     def __init__(self, organisations: Iterable[Organisation]) -> None:
         self._secret = os.urandom(SECRET_SIZE)
         self._owners = {
-            self._hide(key): organisation
+            self._compute_lookup_digest(key): organisation
             for organisation in organisations
             for key in organisation.keys
         }
@@ -38,8 +38,8 @@
 
     def find(self, key: str) -> Organisation | None:
         """Return the organisation that holds a key, by the key's digest."""
-        return self._owners.get(self._hide(key)) if key else None
+        return self._owners.get(self._compute_lookup_digest(key)) if key else None
 
-    def _hide(self, key: str) -> bytes:
+    def _compute_lookup_digest(self, key: str) -> bytes:
         data = key.encode()
         return hashlib.blake2b(data, digest_size=DIGEST_SIZE, key=self._secret).digest()
--- a/roadlift/organisations/shares.py
+++ b/roadlift/organisations/shares.py
@@ -25,26 +25,26 @@
 
 # Window in seconds of the mean demand: long enough for a few calls of one
 # organisation at one instance, short enough to follow a burst of some seconds.
-DEMAND_SPAN = 2.0
+DEMAND_WINDOW = 2.0
 # Seconds after which a received state is no longer used: three report
 # intervals.
-NEWS_LIMIT = 0.8
+STATE_MAX_AGE = 0.8
 # Fraction of its share that an instance without updates may use: the demand of
 # others may have grown in the meantime.
-KEPT_PART = 0.8
+OFFLINE_FRACTION = 0.8
 # Fraction of the burst that must be left for an organisation to be free. What
 # is used until all instances know that it no longer is, about 0.6 s later, is
 # a debt.
-FREE_PART = 0.5
+FREE_FRACTION = 0.5
 # Fraction of the slack that is added to bursts: one call may use as much as a
 # small allowance grants in a second, and with its burst alone an organisation
 # would not be free for seconds after each such call.
-LUMP_PART = 0.25
+EXTRA_BURST_FRACTION = 0.25
 # Largest debt, in seconds of the rate.
-MOST_DEBT = 2.0
+MAX_DEBT = 2.0
 # Instances that may start within one window, each with its credit, while the
 # credits stay within what the deployment allows beyond the rate.
-CREDITS = 128
+MAX_STARTS = 128
 
 
 class Limits(NamedTuple):
@@ -68,14 +68,14 @@
         return 1.0 + self.over / 2
 
     @property
-    def lump(self) -> float:
+    def extra_burst(self) -> float:
         """Return what is added to bursts for single large calls."""
-        return self.slack * LUMP_PART
+        return self.slack * EXTRA_BURST_FRACTION
 
     @property
     def credit(self) -> float:
         """Return what an instance may use that has no reports of others."""
-        return self.slack / CREDITS
+        return self.slack / MAX_STARTS
 
 
 class Share(NamedTuple):
@@ -100,23 +100,23 @@
     def __init__(self, allowance: Allowance, limits: Limits, now: float) -> None:
         self._limits = limits
         self._level = limits.credit
-        self._advanced_at = now
+        self._refilled_at = now
         self.allowance = allowance
         self.share = Share(False, 0.0, 0.0)
-        self.demand = Rate(DEMAND_SPAN, now)
+        self.demand = Rate(DEMAND_WINDOW, now)
         self.spent = 0.0
 
     def set_share(self, share: Share, now: float) -> None:
         """Switch to a new share."""
         self.share = share
         self._level = share.level
-        self._advanced_at = now
+        self._refilled_at = now
 
-    def keep_part(self, now: float) -> None:
+    def keep_last_share(self, now: float) -> None:
         """Keep to the last share while there are no updates."""
         if self.share.is_free:
-            self._advance(now)
-            part = self.share.part * KEPT_PART
+            self._refill(now)
+            part = self.share.part * OFFLINE_FRACTION
             self.share = self.share._replace(is_free=False, part=part)
 
     def take(self, amount: float, now: float) -> float:
@@ -126,26 +126,26 @@
         otherwise a large one would never be admitted.
         """
         self.demand.note(amount, now)
-        self._advance(now)
+        self._refill(now)
         if self.share.is_free or self._level > 0:
             self.spend(amount)
             return 0.0
-        rate = self._measure(self.allowance.rate)
-        longest = self._limits.window
-        return min(longest, -self._level / rate) if rate else longest
+        rate = self._compute_share(self.allowance.rate)
+        max_wait = self._limits.window
+        return min(max_wait, -self._level / rate) if rate else max_wait
 
     def spend(self, amount: float) -> None:
         """Count an amount in any case; negative if it was not used."""
         self.spent += amount
         self._level -= amount
 
-    def _measure(self, whole: float) -> float:
+    def _compute_share(self, total: float) -> float:
         """Return this instance's share of a rate or burst."""
-        return whole * self.share.part
+        return total * self.share.part
 
-    def _advance(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         """Refill up to the share of the burst."""
-        gained = self._measure(self.allowance.rate) * (now - self._advanced_at)
-        burst = self._measure(self.allowance.burst + self._limits.lump)
+        gained = self._compute_share(self.allowance.rate) * (now - self._refilled_at)
+        burst = self._compute_share(self.allowance.burst + self._limits.extra_burst)
         self._level = max(self._level, min(burst, self._level + gained))
-        self._advanced_at = now
+        self._refilled_at = now
--- a/roadlift/organisations/sharing.py
+++ b/roadlift/organisations/sharing.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from roadlift.organisations.fleet import FleetState
-from roadlift.organisations.shares import NEWS_LIMIT, Meter, Share
+from roadlift.organisations.shares import STATE_MAX_AGE, Meter, Share
 
 
 class Sharing(Protocol):
@@ -36,40 +36,40 @@
 
     def __init__(self) -> None:
         self._states: dict[str, FleetState] = {}
-        self._new: set[str] = set()
-        self._heard_at = float("-inf")
+        self._pending: set[str] = set()
+        self._known_at = float("-inf")
 
     @property
     def heard_at(self) -> float:
         """Return as of when the states are known, in local seconds."""
-        return self._heard_at
+        return self._known_at
 
     def note_news(self, states: Iterable[FleetState], asked_at: float) -> None:
         """Apply the answer to a report that was sent at ``asked_at``."""
-        if asked_at < self._heard_at:
+        if asked_at < self._known_at:
             return
-        self._heard_at = asked_at
+        self._known_at = asked_at
         self._states = {state.name: state for state in states}
-        self._new = set(self._states)
+        self._pending = set(self._states)
 
     def update(self, name: str, meter: Meter, now: float) -> None:
         """Set the share from the states; without any, keep the last one."""
-        if now - self._heard_at > NEWS_LIMIT:
-            meter.keep_part(now)
+        if now - self._known_at > STATE_MAX_AGE:
+            meter.keep_last_share(now)
             return
         state = self._states.get(name)
         if state is None:
             # An organisation that is not listed is free.
             if not meter.share.is_free:
                 meter.set_share(meter.share._replace(is_free=True), now)
-        elif name in self._new:
-            self._new.discard(name)
-            meter.set_share(_find_share(state, meter, now), now)
+        elif name in self._pending:
+            self._pending.discard(name)
+            meter.set_share(_compute_share(state, meter, now), now)
 
 
-def _find_share(state: FleetState, meter: Meter, now: float) -> Share:
+def _compute_share(state: FleetState, meter: Meter, now: float) -> Share:
     """Return an instance's share by its local demand."""
-    own = meter.demand.measure(now)
-    weight = own / max(own, state.demand) if own else 0.0
-    untold = meter.spent - state.counted
-    return Share(state.is_free, weight * state.part, weight * state.level - untold)
+    local = meter.demand.measure(now)
+    weight = local / max(local, state.demand) if local else 0.0
+    unreported = meter.spent - state.counted
+    return Share(state.is_free, weight * state.part, weight * state.level - unreported)
--- a/roadlift/retries/rules.py
+++ b/roadlift/retries/rules.py
@@ -28,14 +28,14 @@
     up.
     """
 
-    def __init__(self, share: float = 0.1, most: float = 20.0) -> None:
+    def __init__(self, share: float = 0.1, max_saved: float = 20.0) -> None:
         self._share = share
-        self._most = most
-        self._saved = most
+        self._max_saved = max_saved
+        self._saved = max_saved
 
     def earn(self) -> None:
         """Count a request."""
-        self._saved = min(self._most, self._saved + self._share)
+        self._saved = min(self._max_saved, self._saved + self._share)
 
     def spend(self) -> bool:
         """Consume one retry; False means that none is left."""
--- a/roadlift/retries/window.py
+++ b/roadlift/retries/window.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 
-MARGIN = 0.6  # Fraction of the allowance that is used.
+USED_FRACTION = 0.6  # Fraction of the allowance that is used.
 BUCKETS = 20  # Buckets of a window in which requests and retries are counted.
 
 
@@ -41,7 +41,7 @@
         """Consume one retry; False means that none is left."""
         bucket = self._get_bucket(now)
         allowed = self._ratio * self._requests + self._slack / max(1, instances)
-        if self._retries + 1 > allowed * MARGIN:
+        if self._retries + 1 > allowed * USED_FRACTION:
             return False
         bucket.retries += 1
         self._retries += 1
@@ -53,7 +53,7 @@
             old = self._buckets.popleft()
             self._requests -= old.requests
             self._retries -= old.retries
-        span = self._window / BUCKETS
-        if not self._buckets or now - self._buckets[-1].since >= span:
+        width = self._window / BUCKETS
+        if not self._buckets or now - self._buckets[-1].since >= width:
             self._buckets.append(_Bucket(now))
         return self._buckets[-1]
--- a/tests/decisions/crashes.feature
+++ b/tests/decisions/crashes.feature
@@ -1,90 +1,90 @@
-Feature: Signs tell which call ends the endpoints that run it
+Feature: Evidence identifies the call that crashes the endpoints that run it
 
   Scenario Outline: <history>
-    When signs are learned "<history>"
+    When the evidence has the history "<history>"
     Then at <at> the call a is refused for <seconds> seconds
 
     Examples:
-      | history                                                       | at   | seconds |
-      | nothing                                                       | 5    | 0       |
-      | 1 a strong e1                                                 | 5    | 0       |
-      | 1 a strong e1, 2 a strong e1                                  | 5    | 0       |
-      | 1 a strong e1, 2 a strong e2                                  | 5    | 57      |
-      | 1 a strong e1, 2 b strong e2                                  | 5    | 0       |
-      | 1 a weak e1, 2 a weak e2                                      | 5    | 0       |
-      | 1 a weak e1, 2 a weak e2, 3 a weak e3                         | 5    | 598     |
-      | 1 a weak e1, 2 a strong e2                                    | 5    | 0       |
-      | 1 a strong e1, 2 a strong e2                                  | 63   | 0       |
-      | 1 a strong e1, 2 a strong e2, 63 a strong e3                  | 65   | 598     |
-      | 1 a strong e1, 2 a strong e2, 63 a strong e3, 670 a strong e4 | 671  | 3599    |
-      | 1 a strong e1, 2 a cleared, 3 a strong e2                     | 5    | 0       |
-      | 1 a strong e1, 2 a strong e2, 3 a cleared                     | 5    | 0       |
-      | 1 a strong e1, 2 a cleared, 3 a strong e1                     | 5    | 0       |
-      | 1 a strong e1, 2 a strong e2, 3 400 others                    | 5    | 57      |
-      | 1 a strong e1, 2 400 others, 3 a strong e2                    | 5    | 0       |
-      | 1 a strong e1, 700 time passes, 701 a strong e2               | 702  | 0       |
+      | history                                                       | at  | seconds |
+      | nothing                                                       | 5   | 0       |
+      | 1 a strong e1                                                 | 5   | 0       |
+      | 1 a strong e1, 2 a strong e1                                  | 5   | 0       |
+      | 1 a strong e1, 2 a strong e2                                  | 5   | 57      |
+      | 1 a strong e1, 2 b strong e2                                  | 5   | 0       |
+      | 1 a weak e1, 2 a weak e2                                      | 5   | 0       |
+      | 1 a weak e1, 2 a weak e2, 3 a weak e3                         | 5   | 598     |
+      | 1 a weak e1, 2 a strong e2                                    | 5   | 0       |
+      | 1 a strong e1, 2 a strong e2                                  | 63  | 0       |
+      | 1 a strong e1, 2 a strong e2, 63 a strong e3                  | 65  | 598     |
+      | 1 a strong e1, 2 a strong e2, 63 a strong e3, 670 a strong e4 | 671 | 3599    |
+      | 1 a strong e1, 2 a cleared, 3 a strong e2                     | 5   | 0       |
+      | 1 a strong e1, 2 a strong e2, 3 a cleared                     | 5   | 0       |
+      | 1 a strong e1, 2 a cleared, 3 a strong e1                     | 5   | 0       |
+      | 1 a strong e1, 2 a strong e2, 3 400 others                    | 5   | 57      |
+      | 1 a strong e1, 2 400 others, 3 a strong e2                    | 5   | 0       |
+      | 1 a strong e1, 700 time passes, 701 a strong e2               | 702 | 0       |
 
-    Examples: One end that instances saw differently, the weaker sign first or last
-      | history                                                       | at   | seconds |
-      | 1 a strong e1, 2 a strong e2, 3 a weak e2                     | 5    | 57      |
-      | 1 a weak e1, 2 a strong e1, 3 a strong e2                     | 5    | 58      |
-      | 1 a strong e1, 2 a strong e2, 3 a weak e2, 3 a cleared        | 5    | 0       |
+    Examples: One crash that instances saw differently, the weaker evidence first or last
+      | history                                                | at | seconds |
+      | 1 a strong e1, 2 a strong e2, 3 a weak e2              | 5  | 57      |
+      | 1 a weak e1, 2 a strong e1, 3 a strong e2              | 5  | 58      |
+      | 1 a strong e1, 2 a strong e2, 3 a weak e2, 3 a cleared | 5  | 0       |
 
-    Examples: What was only there at ends that have a stronger suspect, or a sure cause
-      | history                                                              | at | seconds |
-      | 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 b strong e1                 | 5  | 0       |
-      | 1 b strong e1, 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 a weak e4    | 5  | 3599    |
-      | 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 b strong e1, 4.5 b cleared  | 5  | 598     |
-      | 1 b strong e1, 2 b strong e2, 3 a weak e1, 3 a weak e2, 4 a weak e3  | 5  | 0       |
-      | 1 a strong e1, 2 a strong e2, 3 b strong e1, 4 b strong e2           | 5  | 57      |
+    Examples: Calls only present at crashes that have a stronger suspect, or a confirmed cause
+      | history                                                             | at | seconds |
+      | 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 b strong e1                | 5  | 0       |
+      | 1 b strong e1, 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 a weak e4   | 5  | 3599    |
+      | 1 a weak e1, 2 a weak e2, 3 a weak e3, 4 b strong e1, 4.5 b cleared | 5  | 598     |
+      | 1 b strong e1, 2 b strong e2, 3 a weak e1, 3 a weak e2, 4 a weak e3 | 5  | 0       |
+      | 1 a strong e1, 2 a strong e2, 3 b strong e1, 4 b strong e2          | 5  | 57      |
 
-  Scenario: Sets of signs that are merged in any order agree
-    Given 200 draws of signs at 4 instances
-    When each instance tells each other all it knows, in an order that is drawn
+  Scenario: Sets of evidence that are merged in any order agree
+    Given 200 random sets of evidence at 4 instances
+    When each instance reports all its evidence to each other, in a random order
     Then all instances refuse the same calls and have the same checksum
 
-  Scenario Outline: In any order of <calls> deadly calls at <instances> instances
-    Given <draws> draws in which signs reach others within 1 second, or a row does
-    When <calls> deadly calls come each 0.2 to 0.8 seconds to <instances> instances
-    Then each runs twice, and as often as it came before all knew of its second end
-    And calls that only ran beside two ends are not refused
+  Scenario Outline: In any order of <calls> crashing calls at <instances> instances
+    Given <orders> random orders in which evidence reaches others within 1 second
+    When <calls> crashing calls come each 0.2 to 0.8 seconds to <instances> instances
+    Then each runs twice, and as often as it came before all had its second crash
+    And calls that only ran during two crashes are not refused
 
     Examples:
-      | calls | instances | draws |
-      | 1     | 1         | 100   |
-      | 1     | 6         | 100   |
-      | 3     | 6         | 100   |
-      | 3     | 40        | 20    |
+      | calls | instances | orders |
+      | 1     | 1         | 100    |
+      | 1     | 6         | 100    |
+      | 3     | 6         | 100    |
+      | 3     | 40        | 20     |
 
-  Scenario Outline: What another instance or a row says of signs is checked
-    Then the signs "<signs>" are malformed
+  Scenario Outline: Evidence from another instance or from a row is validated
+    Then the evidence "<evidence>" is malformed
 
     Examples:
-      | signs                          |
-      | [1]                            |
-      | [[1, "e", 3, 0]]               |
-      | [["short", "e", 3, 0]]         |
-      | [["IDENTITY", 7, 3, 0]]        |
-      | [["IDENTITY", "e", 9, 0]]      |
-      | [["IDENTITY", "e", true, 0]]   |
-      | [["IDENTITY", "e", 3, -1]]     |
-      | [["IDENTITY", "e", 3, "old"]]  |
-      | [["IDENTITY", "e", 3, NaN]]    |
-      | [["IDENTITY", "e", 3]]         |
+      | evidence                      |
+      | [1]                           |
+      | [[1, "e", 3, 0]]              |
+      | [["short", "e", 3, 0]]        |
+      | [["IDENTITY", 7, 3, 0]]       |
+      | [["IDENTITY", "e", 9, 0]]     |
+      | [["IDENTITY", "e", true, 0]]  |
+      | [["IDENTITY", "e", 3, -1]]    |
+      | [["IDENTITY", "e", 3, "old"]] |
+      | [["IDENTITY", "e", 3, NaN]]   |
+      | [["IDENTITY", "e", 3]]        |
 
   Scenario Outline: Calls are the same work or not by <difference>
     Then a call that differs in <difference> is <same> work
 
     Examples:
-      | difference      | same    |
-      | nothing         | the same |
-      | id              | the same |
-      | time limit      | the same |
-      | other headers   | the same |
-      | case of host    | the same |
-      | method          | other   |
-      | host            | other   |
-      | target          | other   |
-      | body            | other   |
-      | model           | other   |
-      | border of parts | other   |
+      | difference     | same     |
+      | nothing        | the same |
+      | id             | the same |
+      | time limit     | the same |
+      | other headers  | the same |
+      | case of host   | the same |
+      | method         | other    |
+      | host           | other    |
+      | target         | other    |
+      | body           | other    |
+      | model          | other    |
+      | field boundary | other    |
--- a/tests/decisions/services.feature
+++ b/tests/decisions/services.feature
@@ -1,13 +1,13 @@
-Feature: The calls of a plain service are spread, and those too many are turned away
+Feature: The calls of a plain service are balanced, and excess calls are refused
 
   74 instances in 3 zones send calls of 69 ms to 4 endpoints with 6 slots and a queue of
   24 each; the zone with most callers has one of the endpoints. An instance has no call
-  under way most of the time.
+  in progress most of the time.
 
-  Scenario Outline: Goodput at up to 3 times what can run, <way>
+  Scenario Outline: Goodput at up to 3 times the capacity, <way>
     Given calls to a plain service that are placed by <way>
-    When 0.8, 1, 1.2, 1.5, 2 and 3 times what can run is asked for
-    Then the calls served in time a second are <held> within 15 in 100 of their peak
+    When 0.8, 1, 1.2, 1.5, 2 and 3 times the capacity is requested
+    Then the calls served in time a second are <held> within 15% of their peak
 
     Examples:
       | way       | held     |
@@ -15,37 +15,37 @@
       | spread    | not held |
       | own calls | not held |
 
-  Scenario Outline: Calls at <load> of what can run, <way>
+  Scenario Outline: Calls at <load> of the capacity, <way>
     Given calls to a plain service that are placed by <way>
-    When <load> times what can run is asked for
+    When <load> times the capacity is requested
     Then at least <in_time> of the calls are served in time
-    And at most <abroad> of them go to another zone
+    And at most <remote> of them go to another zone
 
-    Examples: Where there is room, all are served, and few go abroad
-      | load | way    | in_time | abroad |
+    Examples: Below the capacity all are served, and few go to remote zones
+      | load | way    | in_time | remote |
       | 0.4  | let in | 0.999   | 0.1    |
       | 0.7  | let in | 0.999   | 0.3    |
       | 0.9  | let in | 0.97    | 0.3    |
 
-  Scenario Outline: Calls of z1 where <busy> are under way and <slots> slots
-    Given slots <slots> and calls under way <busy> by zone
-    Then the calls of z1 go to <parts>
+  Scenario Outline: Calls of z1 with <busy> in progress and <slots> slots
+    Given slots <slots> and calls in progress <busy> by zone
+    Then the calls of z1 go to <fractions>
 
     Examples:
-      | slots              | busy               | parts                |
-      | z1 6, z2 6         | z1 3, z2 3         | z1 1.0               |
-      | z1 6, z2 6         | z1 0, z2 9         | z1 1.0               |
-      | z1 6, z2 6         | z1 7.2, z2 0       | z1 0.5, z2 0.5       |
+      | slots              | busy               | fractions                |
+      | z1 6, z2 6         | z1 3, z2 3         | z1 1.0                   |
+      | z1 6, z2 6         | z1 0, z2 9         | z1 1.0                   |
+      | z1 6, z2 6         | z1 7.2, z2 0       | z1 0.5, z2 0.5           |
       | z1 6, z2 12, z3 12 | z1 7.2, z2 0, z3 0 | z1 0.5, z2 0.25, z3 0.25 |
-      | z2 6               | z1 1, z2 1         | z1 0.0, z2 1.0       |
-      | z1 6, z2 6         | z1 12, z2 12       | z1 1.0               |
-      | z1 6, z2 6         | z1 18, z2 6        | z1 0.67, z2 0.33     |
+      | z2 6               | z1 1, z2 1         | z1 0.0, z2 1.0           |
+      | z1 6, z2 6         | z1 12, z2 12       | z1 1.0                   |
+      | z1 6, z2 6         | z1 18, z2 6        | z1 0.67, z2 0.33         |
 
-  Scenario: Whatever is under way, a zone's calls all go somewhere, and no zone is overfilled
-    Then for 500 drawn loads of 1 to 5 zones the parts make 1, and fill no zone beyond the mean
+  Scenario: Under any load all calls of a zone are placed, and no zone is overfilled
+    Then for 500 random loads of 1 to 5 zones the fractions sum to 1, and fill no zone beyond the mean
 
-  Scenario Outline: A caller that is refused comes back when there may be room
-    Given <busy> calls under way at 4 slots, of which 50 a second are served
+  Scenario Outline: A refused caller comes back when there may be free capacity
+    Given <busy> calls in progress at 4 slots, of which 50 a second are served
     When 200 calls a second come
     Then <refused> of them are refused, to come back in <least> to <most> seconds
 
--- a/tests/retries/retries.feature
+++ b/tests/retries/retries.feature
@@ -1,6 +1,6 @@
-Feature: A try is repeated only by proof and within a budget
+Feature: An attempt is repeated only if it is safe, and within a budget
 
-  Scenario Outline: What may be tried again
+  Scenario Outline: Which requests may be tried again
     Then after <error> a request that is <kind> and of which the caller has <seen> may <may>
 
     Examples:
@@ -28,9 +28,9 @@
       | 0.1   | 1    | 1000     | 100     |
       | 0.5   | 5    | 10       | 9       |
 
-  Scenario Outline: A leaving process goes step by step
+  Scenario Outline: A draining process goes through its phases
     Given a drain with a grace of 1 s and a limit of 60 s
-    When it has left for <age> s with <running> requests and <owned> endpoints
+    When it has been draining for <age> s with <running> requests and <owned> endpoints
     Then its phase is <phase>
 
     Examples:
@@ -45,11 +45,11 @@
       | 59  | 5       | 0     | CLOSED  |
       | 61  | 5       | 1     | ENDED   |
 
-  Scenario: A leaving instance takes no new work and cuts no call
+  Scenario: A draining instance accepts no new work and cuts no call
     Given a deployment of 1 zone with 3 instances and 1 fencing engine
-    When an instance with a call of 8 s is told to leave
+    When an instance with a call of 8 s is told to shut down
     And 2 s pass
     Then a new call to it is refused as draining
     When 30 s pass
     Then its call is answered
-    And it has said that it is gone
+    And it has announced that it is gone
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the decisions of how calls are placed, wait and leave."""
+"""Steps on the decisions of how calls are placed, wait and are abandoned."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from roadlift.decisions.denials import Denials
 from roadlift.decisions.loading import LoadWaits, Source
-from roadlift.decisions.placement import Engine, Need, choose_engine, weigh
+from roadlift.decisions.placement import Engine, Need, choose_engine, evaluate
 from roadlift.decisions.reading import ReadingTimes
 from roadlift.decisions.silence import SilenceWatch
 from roadlift.decisions.urgency import Urgency, merge_want
@@ -19,7 +19,7 @@
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 
 _SOURCES = {source.value: source for source in Source}
-_LOOK = 0.1
+_CHECK_INTERVAL = 0.1
 
 
 def _read_engine(rank, text):
@@ -32,7 +32,7 @@
 
 @given('the engines "{engines}"')
 def step_engines(context, engines):
-    """Say what is known of engines."""
+    """Define what is known of engines."""
     texts = engines.split(", ")
     context.engines = [_read_engine(rank, text) for rank, text in enumerate(texts)]
     context.reading = ReadingTimes()
@@ -53,7 +53,7 @@
 
 @when("{count:d} calls of {tokens:d} tokens from {zone} are placed one after the other")
 def step_place_many(context, count, tokens, zone):
-    """Place calls; each counts as coming to its engine from then on."""
+    """Place calls; each adds its prompt tokens to its engine."""
     context.placed = []
     for _ in range(count):
         chosen = _place(context, tokens, zone).engine
@@ -77,74 +77,74 @@
         workload.change_reading("e", int(words[1]))
     elif words[0] == "reads":
         workload.change_reading("e", -int(words[1]))
-    elif words[0] == "told":
+    elif words[0] == "report":
         load = EngineLoad(0, int(words[1]), int(words[3]))
         workload.note_told("e", "z", load, 0)
-    elif did == "asks":
+    elif did == "requests":
         workload.take_place("e")
     elif did == "is denied":
         workload.deny_place("e")
     elif did == "e is gone":
         workload.forget(())
     elif did != "nothing":
-        workload.pass_over({"z"} if did == "z is silent" else ())
+        workload.pass_over({"z"} if did == "z is unresponsive" else ())
 
 
-@when('it happens to the load of e in z that "{history}"')
+@when('the load of e in z has the history "{history}"')
 def step_load_history(context, history):
-    """Let owners tell, and calls come and go."""
+    """Apply owners' reports and local sends."""
     context.workload = Workload()
     for did in history.split(", "):
         _change_load(context.workload, did)
 
 
-@then("{ahead:d} tokens are ahead there, and {places:d} places are free")
-def step_load(context, ahead, places):
+@then("{ahead:d} tokens are ahead there, and {slots:d} adapter slots are free")
+def step_load(context, ahead, slots):
     """Check what is known of the engine."""
     workload = context.workload
     found = workload.count_ahead("e"), workload.count_places("e")
-    assert found == (ahead, places), found
+    assert found == (ahead, slots), found
 
 
 @when(
     "{name} was seen to take {seconds:g} seconds for {tokens:d} tokens {times:d} times"
 )
 def step_seen(context, name, seconds, tokens, times):
-    """Let calls tell how fast an engine reads."""
+    """Record samples of an engine's reading speed."""
     if not hasattr(context, "reading"):
         context.reading = ReadingTimes()
     for _ in range(times):
         context.reading.note(name, tokens, seconds, 1.0)
 
 
-@then("it is taken to read a million tokens in {low:g} to {high:g} seconds")
-def step_pace(context, low, high):
+@then("it is estimated to read a million tokens in {low:g} to {high:g} seconds")
+def step_reading_speed(context, low, high):
     """Check the estimate."""
     found = context.reading.estimate("e", 1.0) * 1e6
     assert low - 1e-6 <= found <= high + 1e-6, found
 
 
-@when('at 0 there are wanted "{wants}" by priority, slack and hold')
-def step_wanted(context, wants):
-    """Ask for adapters, one after the other."""
-    context.wants = {}
-    for index, text in enumerate(wants.split(", ")):
+@when('at 0 the loads "{requests}" are requested by priority, slack and hold')
+def step_requested(context, requests):
+    """Request adapters, one after the other."""
+    context.requests = {}
+    for index, text in enumerate(requests.split(", ")):
         name, priority, slack, hold = text.split()
         urgency = Urgency(int(priority), float(slack), float(hold))
-        known = context.wants.get(name)
-        context.wants[name] = merge_want(known, urgency, index * 1e-6, index * 1e-6)
+        known = context.requests.get(name)
+        context.requests[name] = merge_want(known, urgency, index * 1e-6, index * 1e-6)
 
 
 @then("at {at:g} they are ordered as {order}")
 def step_ordered(context, at, order):
-    """Check which gets a place first."""
-    rank = lambda name: context.wants[name].measure_rank(at)
-    assert sorted(context.wants, key=rank) == order.split()
+    """Check which gets a slot first."""
+    rank = lambda name: context.requests[name].measure_rank(at)
+    assert sorted(context.requests, key=rank) == order.split()
 
 
-@when('it happens to calls at e that "{history}", with a look each 0.1 seconds')
+@when('calls at e have the history "{history}", checked each 0.1 seconds')
 def step_silence(context, history):
-    """Keep a history for the looks."""
+    """Keep the history of the calls."""
     context.history = [step.split(" ", 1) for step in history.split(", ")]
 
 
@@ -154,12 +154,12 @@
     while now <= until + 1e-9:
         while steps and steps[0][0] <= now + 1e-9:
             at, words = steps.pop(0)
-            if words[0] == "stands":
+            if words[0] == "suspended":
                 now = float(words[-1])
             elif words[1] == "sent":
                 name = words[0]
                 watch.begin("e", name, lambda name=name: left.append(name), at)
-            elif words[1] == "hears":
+            elif words[1] == "receives":
                 watch.note_event("e", words[0], at)
             else:
                 watch.end("e", words[0])
@@ -167,7 +167,7 @@
             watch.leave(endpoint)
             for name in left:
                 watch.end(endpoint, name)
-        now += _LOOK
+        now += _CHECK_INTERVAL
     return left
 
 
@@ -190,9 +190,9 @@
     )
 
 
-@when("{count:d} draws of engines and calls are placed with seed {seed:d}")
+@when("{count:d} random engines and calls are placed with seed {seed:d}")
 def step_draws(context, count, seed):
-    """Place calls at engines that are drawn."""
+    """Place calls at random engines."""
     draw = random.Random(seed)
     context.draws = []
     for _ in range(count):
@@ -213,15 +213,15 @@
     assert chosen and all(_is_possible(engine) for engine in chosen)
 
 
-@then("each is placed where any such engine is there")
+@then("each is placed if there is any such engine")
 def step_all_placed(context):
-    """Check that none is refused that an engine could run."""
+    """Check that no call is refused that an engine could run."""
     for _, engines, option in context.draws:
         assert (option is not None) == any(map(_is_possible, engines)), engines
 
 
 def _is_better(one, other):
-    """Tell whether an engine is better in all respects, and in some."""
+    """Return whether an engine is no worse in all, and has less ahead."""
     order = (Source.STORE, Source.AT_HAND, Source.HELD)
     mine = (-one.ahead, one.places, order.index(one.source), -one.rank)
     its = (-other.ahead, other.places, order.index(other.source), -other.rank)
@@ -229,24 +229,25 @@
     return all(a >= b for a, b in pairs) and pairs[0][0] > pairs[0][1]
 
 
-@then("no engine is chosen that another of its zone is better than in all")
+@then("no engine is chosen if another of its zone is better in every respect")
 def step_best(context):
-    """Check that what is better is not dearer."""
+    """Check that a better engine does not cost more."""
     for need, engines, option in context.draws:
         for other in engines:
             if option is None or not _is_possible(other):
                 continue
             is_near = other.endpoint.zone == option.engine.endpoint.zone
             if is_near and _is_better(other, option.engine):
-                found = weigh(need, other, ReadingTimes(), LoadWaits(), 0.0)
+                found = evaluate(need, other, ReadingTimes(), LoadWaits(), 0.0)
                 assert found.cost >= option.cost, (other, option)
 
 
 @when(
-    "adapters are wanted at an engine of {slots:d} slots at random with seed {seed:d}"
+    "adapters are requested at random at an engine of {slots:d} slots"
+    " with seed {seed:d}"
 )
-def step_random_wants(context, slots, seed):
-    """Drive the book of an engine that carries out each order in 10 ms."""
+def step_random_requests(context, slots, seed):
+    """Drive the record of an engine that carries out each order in 10 ms."""
     draw = random.Random(seed)
     book = EngineBook(slots, ("base",), LoadTimes(), BaseLoads(0.0))
     book.take_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
@@ -295,7 +296,7 @@
 
 @then("each was loaded or denied within a second")
 def step_waits_end(context):
-    """Check that no want waits for ever."""
+    """Check that no load request waits forever."""
     assert len(context.waits) > 50, len(context.waits)
     longest = max([*context.waits, *context.open])
     assert longest <= 1.0, longest
@@ -303,13 +304,13 @@
 
 @then("no more adapters were at the engine than slots")
 def step_in_slots(context):
-    """Check that the engine was never ordered over its slots."""
+    """Check that no order exceeded the engine's slots."""
     assert context.most <= context.slots, context.most
 
 
-@given("an owner tells of e that {loads:d} loads of {seconds:g} seconds are ahead")
+@given("an owner reports that {loads:d} loads of {seconds:g} seconds are ahead at e")
 def step_loads_ahead(context, loads, seconds):
-    """Tell a load."""
+    """Record a report."""
     context.workload = Workload()
     context.workload.note_told("e", "z", EngineLoad(0, 0, 9, loads, seconds), 0)
 
@@ -323,7 +324,7 @@
 
 @when('at an owner "{history}"')
 def step_denials(context, history):
-    """Let adapters be denied and loaded."""
+    """Deny and load adapters."""
     context.denials = Denials()
     for words in history.split(", "):
         at, _, rest = words.partition(" ")
@@ -332,12 +333,12 @@
                 context.denials.note(Model("base", f"o{number}"), float(at))
         elif rest.endswith("is denied"):
             context.denials.note(Model("base", rest[0]), float(at))
-        elif rest.endswith("is there"):
+        elif rest.endswith("is loaded"):
             context.denials.forget(Model("base", rest[0]))
 
 
 @then("at {at:g} the adapter a waits since {since:g}")
 def step_since(context, at, since):
-    """Check since when it counts as waiting."""
+    """Check the time from which it counts as waiting."""
     found = context.denials.find_since(Model("base", "a"), at)
     assert found == since, found
--- a/tests/steps/limit_decision_steps.py
+++ b/tests/steps/limit_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how the sends to an endpoint with a limit are given out."""
+"""Steps on how the sends to a rate-limited endpoint are granted."""
 
 from behave import given, then, when
 
@@ -11,27 +11,27 @@
     context.outcomes = [play(WAYS[way], count, limit, trouble, 1) for limit in LIMITS]
 
 
-@when("{count:d} instances have the sends given out: {trouble}")
-def step_given_out(context, count, trouble):
-    """Play the owner's way, with each limit."""
+@when("{count:d} instances let the owner grant each send: {trouble}")
+def step_owner_grants(context, count, trouble):
+    """Simulate grants by the owner, with each limit."""
     _play(context, "given out", count, trouble)
 
 
 @when("{count:d} instances share the limit by {way}: {trouble}")
 def step_share(context, count, way, trouble):
-    """Play another way, with each limit."""
+    """Simulate another way of sharing, with each limit."""
     _play(context, way if way in WAYS else f"by {way}", count, trouble)
 
 
 @then("no window has more than the bound")
 def step_bound(context):
-    """Look at the worst windows."""
+    """Check the windows with the most sends."""
     assert all(one.worst <= 1.0 for one in context.outcomes), context.outcomes
 
 
 @then("a window has more than the bound")
 def step_over_bound(context):
-    """Look at the worst windows."""
+    """Check the windows with the most sends."""
     assert any(one.worst > 1.0 for one in context.outcomes), context.outcomes
 
 
@@ -39,51 +39,50 @@
     return sum(one.used for one in context.outcomes) / len(context.outcomes)
 
 
-@then("at least {least:g} of the limit is let in")
+@then("at least {least:g} of the limit is admitted")
 def step_used(context, least):
-    """Look at the mean of the limits."""
+    """Check the mean over the limits."""
     assert _measure_used(context) >= least, context.outcomes
 
 
-@then("less than {most:g} of the limit is let in")
+@then("less than {most:g} of the limit is admitted")
 def step_unused(context, most):
-    """Look at the mean of the limits."""
+    """Check the mean over the limits."""
     assert _measure_used(context) < most, context.outcomes
 
 
-@given("an owner of an endpoint that takes {limit:g} calls a second")
+@given("an owner of an endpoint that accepts {limit:g} calls a second")
 def step_owner(context, limit):
     """Open a ledger."""
     context.ledger = SendLedger(1, 0.0)
     context.ledger.learn(Claim("a", limit, True, context.ledger.basis, 0), 0.0)
 
 
-@when("an ask {case}")
-def step_ask(context, case):
-    """Ask five times at once, and count what may begin when."""
-    patience = 0.4 if case.startswith("waits") else 0.0
+@when("a send request {case}")
+def step_request(context, case):
+    """Request five sends at once, and count the distinct grants."""
+    max_wait = 0.4 if case.startswith("waits") else 0.0
     begins = set()
     for number in range(5):
-        asker = f"a{number}" if "few" in case else "a"
-        known = 0 if "under a number" in case else number
-        grant = context.ledger.give(asker, known, patience, GIVEN_PART, 0.0)
+        requester = f"a{number}" if "several" in case else "a"
+        sequence = 0 if "under one number" in case else number
+        grant = context.ledger.give(requester, sequence, max_wait, GIVEN_PART, 0.0)
         if grant.is_given:
-            begins.add((asker, known))
-    context.given_out = len(begins)
+            begins.add((requester, sequence))
+    context.granted = len(begins)
 
 
-@then("it gives {count:d} sends out in all")
+@then("it grants {count:d} sends in all")
 def step_count(context, count):
     """Compare."""
-    assert context.given_out == count, context.given_out
+    assert context.granted == count, context.granted
 
 
 @when(
-    "an instance tells that {count:d} calls were sent before, ends the limit and names"
-    " it again"
+    "an instance reports {count:d} earlier sends, ends the limit and announces it again"
 )
 def step_spent(context, count):
-    """Ask behind each telling, the second one 20 seconds later."""
+    """Request a send after each report, the second time 20 seconds later."""
     ledger = context.ledger
     context.delays = []
     for now in (0.0, 20.0):
@@ -92,7 +91,7 @@
         ledger.learn(Claim("b", None, True, ledger.basis, count), now + 10.0)
 
 
-@then("no send is free for {least:g} second both times")
+@then("no send is available for {least:g} second both times")
 def step_delays(context, least):
-    """Look at the delays."""
+    """Check the delays."""
     assert all(delay >= least for delay in context.delays), context.delays
--- a/tests/steps/resending_steps.py
+++ b/tests/steps/resending_steps.py
@@ -34,7 +34,7 @@
     "{count:d} sends, {unreached:d} unreached, {runs:d} runs, {left:g} s left, {answer}"
 )
 def step_sends(context, count, unreached, runs, left, answer):
-    """Keep what became of its sends."""
+    """Keep the outcome of its sends."""
     context.sends = Sends(count, unreached, runs, left, answer == "an answer")
 
 
@@ -50,7 +50,7 @@
     )
 
 
-@then("the call goes on, or not as {reason}")
+@then("the obstacle to sending it again is {reason}")
 def step_reason(context, reason):
     """Compare the reason."""
     assert (context.reason or "nothing") == reason, context.reason
--- a/tests/steps/retry_steps.py
+++ b/tests/steps/retry_steps.py
@@ -1,4 +1,4 @@
-"""Steps on retries and on leaving."""
+"""Steps on retries and on draining."""
 
 from behave import given, then, when
 
@@ -20,15 +20,15 @@
     assert allowed == (may == "be repeated")
 
 
-@given("a retry budget of {share:g} that saves {most:g}")
-def step_budget(context, share, most):
+@given("a retry budget of {share:g} that saves {max_saved:g}")
+def step_budget(context, share, max_saved):
     """Make a budget."""
-    context.budget = RetryBudget(share, most)
+    context.budget = RetryBudget(share, max_saved)
 
 
 @when("{requests:d} requests each want {retries:d} retries")
 def step_want(context, requests, retries):
-    """Earn and spend."""
+    """Earn and spend retries."""
     context.granted = 0
     for _ in range(requests):
         context.budget.earn()
@@ -48,9 +48,12 @@
     context.drain = Drain(context.clock, grace, limit)
 
 
-@when("it has left for {age:g} s with {running:d} requests and {owned:d} endpoints")
+@when(
+    "it has been draining for {age:g} s with {running:d} requests"
+    " and {owned:d} endpoints"
+)
 def step_left(context, age, running, owned):
-    """Measure the phase at an age."""
+    """Check that it is serving, then compute its phase at an age."""
     assert context.drain.measure_phase(running, owned).name == "SERVING"
     context.drain.start()
     context.clock.advance(age)
@@ -63,9 +66,9 @@
     assert context.phase.name == phase, context.phase
 
 
-@when("an instance with a call of {seconds:g} s is told to leave")
+@when("an instance with a call of {seconds:g} s is told to shut down")
 def step_leave_with_call(context, seconds):
-    """Let an instance leave while a call of its runs."""
+    """Drain an instance while one of its calls runs."""
     deployment, hub = context.deployment, context.deployment.hub
     engine = hub.get_engine("engine-a0")
     (owner,) = deployment.list_owners("engine-a0")
@@ -89,9 +92,9 @@
     assert context.caller.is_whole, context.caller.error
 
 
-@then("it has said that it is gone")
-def step_said_gone(context):
-    """Check how the others see it, without a failure detected."""
+@then("it has announced that it is gone")
+def step_announced_gone(context):
+    """Check that other instances know it, without a failure being detected."""
     deployment = context.deployment
     assert deployment.get(context.victim, Gateway).running == 0
     for name in deployment.hub.kernels:
--- a/tests/steps/sign_steps.py
+++ b/tests/steps/sign_steps.py
@@ -1,4 +1,4 @@
-"""Steps on signs of calls that end endpoints."""
+"""Steps on evidence against calls that crash endpoints."""
 
 import json
 import random
@@ -18,9 +18,9 @@
     return text.encode().ljust(IDENTITY_SIZE, b".")
 
 
-@when('signs are learned "{history}"')
-def step_learn(context, history):
-    """Play a history of ends, each with its time in seconds."""
+@when('the evidence has the history "{history}"')
+def step_evidence(context, history):
+    """Play a history of crashes, each with its time in seconds."""
     context.crashes = Crashes()
     for event in history.split(", "):
         words = event.split()
@@ -41,39 +41,39 @@
 
 @then("at {now:g} the call a is refused for {seconds:g} seconds")
 def step_refused(context, now, seconds):
-    """Check the rest of the refusal."""
-    found = context.crashes.measure_refusal(_name("a"), now)
+    """Check the remaining refusal."""
+    found = context.crashes.compute_refusal(_name("a"), now)
     assert abs(found - seconds) < 0.01, found
 
 
-@given("{count:d} draws of signs at {instances:d} instances")
-def step_draw(context, count, instances):
-    """Let instances learn signs of their own, and clear some calls."""
-    context.draws = []
+@given("{count:d} random sets of evidence at {instances:d} instances")
+def step_random_sets(context, count, instances):
+    """Add evidence at several instances, and clear some calls."""
+    context.sets = []
     for seed in range(count):
-        drawn = random.Random(seed)
+        rng = random.Random(seed)
         sets = [Crashes() for _ in range(instances)]
-        for _ in range(drawn.randrange(1, 30)):
+        for _ in range(rng.randrange(1, 30)):
             sign = Sign(
-                _name(drawn.choice("abcd")),
-                f"e{drawn.randrange(4)}",
-                drawn.choice([STRONG, WEAK]),
-                drawn.random(),
+                _name(rng.choice("abcd")),
+                f"e{rng.randrange(4)}",
+                rng.choice([STRONG, WEAK]),
+                rng.random(),
             )
-            chosen = drawn.choice(sets)
+            chosen = rng.choice(sets)
             chosen.merge([sign], 10.0)
-            if drawn.random() < 0.1:
+            if rng.random() < 0.1:
                 chosen.clear(sign.identity)
-        context.draws.append((drawn, sets))
+        context.sets.append((rng, sets))
 
 
-@when("each instance tells each other all it knows, in an order that is drawn")
-def step_tell(context):
-    """Tell all, twice, as what is told on the way is passed on."""
-    for drawn, sets in context.draws:
+@when("each instance reports all its evidence to each other, in a random order")
+def step_report(context):
+    """Exchange everything twice, as instances forward what they receive."""
+    for rng, sets in context.sets:
         pairs = [(a, b) for a in sets for b in sets if a is not b]
         for _ in range(2):
-            drawn.shuffle(pairs)
+            rng.shuffle(pairs)
             for one, other in pairs:
                 other.merge(one.list_signs(11.0), 11.0)
 
@@ -81,16 +81,16 @@
 @then("all instances refuse the same calls and have the same checksum")
 def step_agree(context):
     """Compare the instances of each draw."""
-    for _, sets in context.draws:
+    for _, sets in context.sets:
         views = {tuple(one.is_refused(_name(text)) for text in "abcd") for one in sets}
         sums = {one.compute_checksum() for one in sets}
         assert len(views) == len(sums) == 1, (views, sums)
 
 
-@then('the signs "{signs}" are malformed')
-def step_malformed(context, signs):
-    """Read the signs of a message."""
-    fields = json.loads(signs)
+@then('the evidence "{evidence}" is malformed')
+def step_malformed(context, evidence):
+    """Read the evidence of a message."""
+    fields = json.loads(evidence)
     for one in fields:
         if isinstance(one, list):
             one[0] = _name("a") if one[0] == "IDENTITY" else one[0]
@@ -115,7 +115,7 @@
     "target": {"target": "/a/1?q"},
     "body": {"body": b"bodz"},
     "model": {"model": Model("m", "y")},
-    "border of parts": {"target": "/a/", "host": "h.example1"},
+    "field boundary": {"target": "/a/", "host": "h.example1"},
 }
 
 
@@ -128,93 +128,101 @@
 
 
 class _Order:
-    """One drawn order of calls, ends and news at several instances."""
+    """One random order of calls, crashes and evidence at instances."""
 
-    LIFE = 0.13  # Seconds from a run's beginning until its end is known there.
-    SPAN = 40.0  # Seconds for which the calls come.
+    # Seconds from a run's start until its crash is known at its instance.
+    DETECTION_TIME = 0.13
+    DURATION = 40.0  # Seconds for which the calls come.
     ENGINES = 12
-    BESIDE = 3  # Other calls that run on an engine when it ends.
+    OTHER_CALLS = 3  # Other calls that run on an engine when it crashes.
 
     def __init__(self, seed, instances):
-        self._draw = random.Random(seed)
+        self._rng = random.Random(seed)
         self.ledgers = [Crashes(number / instances) for number in range(instances)]
-        self._news = []
-        self._lives = [0] * self.ENGINES
+        self._arriving = []
+        self._starts = [0] * self.ENGINES
         self._others = 0
         self.runs = {}
         self.known_at = {}
         self.refused_for = {}
 
     def play(self, calls):
-        """Send the deadly calls, and let news arrive between them."""
-        due = sorted((self._draw.random(), name) for name in range(calls))
-        while due[0][0] < self.SPAN:
+        """Send the crashing calls, and let evidence arrive between them."""
+        due = sorted((self._rng.random(), name) for name in range(calls))
+        while due[0][0] < self.DURATION:
             now, name = due.pop(0)
             self._deliver(now)
-            self._send(now, f"deadly{name}")
-            due.append((now + self._draw.uniform(0.2, 0.8), name))
+            self._send(now, f"crashing{name}")
+            due.append((now + self._rng.uniform(0.2, 0.8), name))
             due.sort()
-        self._deliver(self.SPAN + 2.0)
+        self._deliver(self.DURATION + 2.0)
 
     def _send(self, now, name):
-        ledger = self._draw.choice(self.ledgers)
-        if ledger.measure_refusal(_name(name), now):
+        ledger = self._rng.choice(self.ledgers)
+        if ledger.compute_refusal(_name(name), now):
             return
         self.runs.setdefault(name, []).append(now)
-        engine = self._draw.randrange(self.ENGINES)
-        self._lives[engine] += 1
-        run = f"e{engine}#{self._lives[engine]}"
+        engine = self._rng.randrange(self.ENGINES)
+        self._starts[engine] += 1
+        run = f"e{engine}#{self._starts[engine]}"
         signs = [Sign(_name(name), run, STRONG, 0.0)]
-        for _ in range(self.BESIDE):
-            other = f"other{self._draw.randrange(40)}"
+        for _ in range(self.OTHER_CALLS):
+            other = f"other{self._rng.randrange(40)}"
             signs.append(Sign(_name(other), run, WEAK, 0.0))
-        known = now + self.LIFE
-        arrivals = [known + self._draw.random() for _ in self.ledgers]
+        known = now + self.DETECTION_TIME
+        arrivals = [known + self._rng.random() for _ in self.ledgers]
         arrivals[self.ledgers.index(ledger)] = known
-        self._news += zip(arrivals, self.ledgers, [signs] * len(arrivals), strict=True)
-        ends = len(self.runs[name])
-        if ends == 2:
+        self._arriving += zip(
+            arrivals, self.ledgers, [signs] * len(arrivals), strict=True
+        )
+        crashes = len(self.runs[name])
+        if crashes == 2:
             self.known_at[name] = max(arrivals)
 
     def _deliver(self, now):
-        """Let what is due arrive, and see who else is refused for it."""
-        for at, ledger, signs in [one for one in self._news if one[0] <= now]:
+        """Merge evidence that has arrived, and keep who is refused for it."""
+        for at, ledger, signs in [one for one in self._arriving if one[0] <= now]:
             ledger.merge(signs, at)
             for sign in signs:
-                seconds = ledger.measure_refusal(sign.identity, at)
+                seconds = ledger.compute_refusal(sign.identity, at)
                 known = self.refused_for.get(sign.identity, (0.0, 0))
-                ends = ledger.count_ends(sign.identity)
-                self.refused_for[sign.identity] = max(known, (seconds, ends))
-        self._news = [one for one in self._news if one[0] > now]
+                crashes = ledger.count_crashes(sign.identity)
+                self.refused_for[sign.identity] = max(known, (seconds, crashes))
+        self._arriving = [one for one in self._arriving if one[0] > now]
 
 
-@given("{count:d} draws in which signs reach others within 1 second, or a row does")
+@given("{count:d} random orders in which evidence reaches others within 1 second")
 def step_orders(context, count):
-    """Choose the seeds."""
+    """Choose the seeds.
+
+    The evidence reaches other instances by a message or by a row of the store.
+    """
     context.seeds = range(count)
 
 
-@when("{calls:d} deadly calls come each 0.2 to 0.8 seconds to {instances:d} instances")
+@when(
+    "{calls:d} crashing calls come each 0.2 to 0.8 seconds to {instances:d} instances"
+)
 def step_play(context, calls, instances):
-    """Play each draw."""
+    """Play each order."""
     context.orders = [_Order(seed, instances) for seed in context.seeds]
     for order in context.orders:
         order.play(calls)
 
 
-@then("each runs twice, and as often as it came before all knew of its second end")
+@then("each runs twice, and as often as it came before all had its second crash")
 def step_bound(context):
-    """Count the runs behind that time."""
+    """Count the runs after that time."""
     for order in context.orders:
         for name, runs in order.runs.items():
             late = [at for at in runs[2:] if at > order.known_at[name]]
             assert not late, (name, runs, order.known_at[name])
 
 
-@then("calls that only ran beside two ends are not refused")
+@then("calls that only ran during two crashes are not refused")
 def step_others(context):
-    """Look at what became of the others."""
+    """Check that no other call was refused."""
     for order in context.orders:
-        for identity, (seconds, ends) in order.refused_for.items():
+        for identity, (seconds, crashes) in order.refused_for.items():
             is_other = identity.startswith(b"other")
-            assert not (is_other and ends <= 2 and seconds), (identity, seconds)
+            assert not (is_other and crashes <= 2 and seconds), (identity, seconds)
