--- a/roadlift/crashes/ends.py
+++ b/roadlift/crashes/detection.py
@@ -15,11 +15,11 @@
 CHECK_TIMEOUT = 0.3  # Timeout of that connection, in seconds.
 # Seconds after which the result is usually known: a call that was cut is not
 # sent to another endpoint sooner, as it might crash a fourth one.
-KNOWN_DELAY = 0.04
+DETECTION_DELAY = 0.04
 MAX_SUSPECTS = 16  # Suspects that one instance reports for one crash.
 
 
-class End(NamedTuple):
+class EndpointCrash(NamedTuple):
     """The crash of an endpoint with ``cut`` calls of this process.
 
     ``suspects`` maps the identities of calls that may be the cause to weights.
@@ -30,15 +30,17 @@
     suspects: dict[bytes, int]
 
 
-class EndCheck:
+class CrashDetector:
     """The cut calls of this process, and whether their endpoints crashed."""
 
-    def __init__(self, kernel: Kernel, on_crash: Callable[[End], None]) -> None:
+    def __init__(
+        self, kernel: Kernel, on_crash: Callable[[EndpointCrash], None]
+    ) -> None:
         self._kernel = kernel
         self._on_crash = on_crash
         self._cuts: dict[str, dict[bytes, int]] = {}
 
-    def note_cut(
+    def record_cut(
         self, endpoint: str, address: Address, identity: bytes, is_strong: bool
     ) -> None:
         """Record that an endpoint closed the connection of a call it had.
@@ -67,7 +69,7 @@
     def _handle_check(self, endpoint: str, error: RoadliftError) -> None:
         cuts = self._cuts.pop(endpoint, {})
         if isinstance(error, ConnectionRefused):
-            self._on_crash(End(endpoint, len(cuts), choose_suspects(cuts)))
+            self._on_crash(EndpointCrash(endpoint, len(cuts), choose_suspects(cuts)))
         # Otherwise it is alive, or the check is inconclusive: a network path
         # that is cut, a host without power. Calls can't be the cause of that.
 
--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -11,7 +11,7 @@
 from roadlift.core.errors import EndsEndpoints
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.crashes import Crashes, Sign
+from roadlift.decisions.crashes import Crashes, CrashEvidence
 
 log = PartLog("crashes")
 
@@ -30,7 +30,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self.crashes = Crashes(zlib.crc32(kernel.settings.peer.encode()) / 2**32)
-        self.on_news: list[Callable[[list[Sign]], None]] = []
+        self.on_evidence: list[Callable[[list[CrashEvidence]], None]] = []
         self.on_change: list[Callable[[bytes], None]] = []
 
     def start(self) -> None:
@@ -60,14 +60,14 @@
         """Return whether an endpoint crashed under work not yet cleared."""
         return not self.crashes.is_empty and self.crashes.is_suspect(identify())
 
-    def learn(self, evidence: list[Sign]) -> None:
+    def record_evidence(self, evidence: list[CrashEvidence]) -> None:
         """Add evidence that no other instance has reported."""
         found = self.merge(evidence)
         if found:
-            for listener in self.on_news:
+            for listener in self.on_evidence:
                 listener(found)
 
-    def merge(self, evidence: list[Sign]) -> list[Sign]:
+    def merge(self, evidence: list[CrashEvidence]) -> list[CrashEvidence]:
         """Add evidence; return what is new."""
         refused = self.crashes.list_refused()
         found = self.crashes.merge(evidence, self._clock.now())
@@ -89,8 +89,8 @@
         if was_refused:
             log.event("work_cleared", identity=identity.hex())
         self._notify_change(identity)
-        cleared = self.crashes.list_signs(self._clock.now(), identity)
-        for listener in self.on_news:
+        cleared = self.crashes.list_evidence(self._clock.now(), identity)
+        for listener in self.on_evidence:
             listener(cleared)
 
     def _notify_change(self, identity: bytes) -> None:
--- a/roadlift/crashes/turns.py
+++ b/roadlift/crashes/trials.py
@@ -23,7 +23,7 @@
         self.waiters: list[Callable[[], None]] = []
 
 
-class Turns:
+class TrialSlots:
     """The suspected calls that have a trial slot, by identity."""
 
     def __init__(self, loop: Loop) -> None:
--- a/roadlift/daemon/calls.py
+++ b/roadlift/daemon/calls.py
@@ -4,11 +4,11 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import End, EndCheck
+from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.bundles import StorePart
 from roadlift.daemon.members import Members
-from roadlift.decisions.crashes import Sign
+from roadlift.decisions.crashes import CrashEvidence
 from roadlift.idempotency.claims import Claims
 from roadlift.retries.rules import RetryBudget
 
@@ -27,7 +27,7 @@
         self.budget = RetryBudget(kernel.settings.retry_share)
         self.claims = Claims(store, kernel.loop, kernel.get(Members).process)
         self.ledger = kernel.get(CrashLedger)
-        self.ends = EndCheck(kernel, self._note_end)
+        self.ends = CrashDetector(kernel, self._note_end)
         self._ended: Counter[str] = Counter()
         self._running: dict[str, int] = {}
 
@@ -49,7 +49,7 @@
         """Count a call at an endpoint as over."""
         self._running[endpoint] -= 1
 
-    def _note_end(self, end: End) -> None:
+    def _note_end(self, end: EndpointCrash) -> None:
         """Learn that an endpoint ended; it comes back under the same name."""
         self._ended[end.endpoint] += 1
         run = f"{end.endpoint}#{self._ended[end.endpoint]}"
@@ -57,5 +57,8 @@
         log.event(
             "endpoint_ended", endpoint=end.endpoint, cut=end.cut, suspects=suspects
         )
-        signs = [Sign(name, run, weight, 0.0) for name, weight in end.suspects.items()]
-        self.ledger.learn(signs)
+        signs = [
+            CrashEvidence(name, run, weight, 0.0)
+            for name, weight in end.suspects.items()
+        ]
+        self.ledger.record_evidence(signs)
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -21,7 +21,7 @@
 )
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import KNOWN_DELAY
+from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.calls import Calls
 from roadlift.daemon.members import Members
@@ -251,7 +251,7 @@
         if isinstance(error, ConnectionLost) and endpoint:
             has_begun = self._head is not None and not self._has_body
             ends, identity = self._calls.ends, self._identify()
-            ends.note_cut(endpoint, self._address, identity, has_begun)
+            ends.record_cut(endpoint, self._address, identity, has_begun)
         if self._head is not None and not self._is_refusal:
             error = StreamCut(error.detail)
         self._on_failure(error)
@@ -292,7 +292,7 @@
             return
         self._metrics.count("retries")
         if isinstance(error, ConnectionLost | StreamCut):
-            self._kernel.loop.call_later(KNOWN_DELAY, self._attempt)
+            self._kernel.loop.call_later(DETECTION_DELAY, self._attempt)
         else:
             self._attempt()
 
--- a/roadlift/decisions/crashes.py
+++ b/roadlift/decisions/crashes.py
@@ -44,10 +44,10 @@
 REFUSAL_JITTER = 0.1
 # Seconds that evidence is kept after the last crash or the end of the refusal.
 RETENTION = 600.0
-MOST_CALLS = 256  # Calls with evidence that are kept.
+MAX_CALLS = 256  # Calls with evidence that are kept.
 
 
-class Sign(NamedTuple):
+class CrashEvidence(NamedTuple):
     """An endpoint crashed while it ran a call, ``age`` seconds ago.
 
     ``identity`` identifies the call's work, ``endpoint`` one run of an
@@ -181,7 +181,9 @@
         until = record.find_last_crash() + record.compute_refusal() * self._stretch
         return max(0.0, until - now)
 
-    def merge(self, evidence: Iterable[Sign], now: float) -> list[Sign]:
+    def merge(
+        self, evidence: Iterable[CrashEvidence], now: float
+    ) -> list[CrashEvidence]:
         """Add evidence; return the pieces that changed the state."""
         found = [item for item in evidence if self._merge(item, now)]
         if found:
@@ -202,11 +204,13 @@
         self._update_causes()
         return True
 
-    def list_signs(self, now: float, identity: bytes | None = None) -> list[Sign]:
+    def list_evidence(
+        self, now: float, identity: bytes | None = None
+    ) -> list[CrashEvidence]:
         """Return the evidence against one call, or against all."""
         records = self._records.items()
         return [
-            Sign(name, endpoint, weight, round(now - at, 3))
+            CrashEvidence(name, endpoint, weight, round(now - at, 3))
             for name, record in records
             if identity in (None, name)
             for endpoint, (weight, at) in record.evidence.items()
@@ -231,7 +235,7 @@
                     self._checksum ^= zlib.crc32(data)
         return self._checksum
 
-    def _merge(self, item: Sign, now: float) -> bool:
+    def _merge(self, item: CrashEvidence, now: float) -> bool:
         record = self._records.get(item.identity)
         known = record.evidence.get(item.endpoint) if record is not None else None
         if known is not None and not _supersedes(item.weight, known[0]):
@@ -261,7 +265,7 @@
 
     def _evict_oldest(self) -> None:
         """Drop the oldest call, one that is not refused if there is one."""
-        if len(self._records) <= MOST_CALLS:
+        if len(self._records) <= MAX_CALLS:
             return
         older = list(self._records)[:-1]
         free = (name for name in older if not self._records[name].is_refused)
--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -4,10 +4,10 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import End, EndCheck
+from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
-from roadlift.crashes.turns import Turns
-from roadlift.decisions.crashes import Sign
+from roadlift.crashes.trials import TrialSlots
+from roadlift.decisions.crashes import CrashEvidence
 from roadlift.instance.aggregator import Aggregator
 from roadlift.instance.crashnews import CrashTelling
 from roadlift.instance.crashrows import CrashRows
@@ -39,8 +39,8 @@
         self._ledger = kernel.get(CrashLedger)
         self._telling = CrashTelling(kernel)
         self._rows = CrashRows(kernel)
-        self._turns = Turns(kernel.loop)
-        self._ends = EndCheck(kernel, self._note_end)
+        self._turns = TrialSlots(kernel.loop)
+        self._ends = CrashDetector(kernel, self._note_end)
         self._ledger.on_change.append(self._note_change)
 
     def start(self) -> None:
@@ -72,11 +72,11 @@
         """End the turn of a call for which ``begin`` was true."""
         self._turns.end(identity)
 
-    def note_cut(self, endpoint: Endpoint, identity: bytes, is_strong: bool) -> None:
+    def record_cut(self, endpoint: Endpoint, identity: bytes, is_strong: bool) -> None:
         """Learn that an endpoint closed the connection of a call it had."""
-        self._ends.note_cut(endpoint.id, endpoint.address, identity, is_strong)
+        self._ends.record_cut(endpoint.id, endpoint.address, identity, is_strong)
 
-    def _note_end(self, end: End) -> None:
+    def _note_end(self, end: EndpointCrash) -> None:
         known = self._follower.directory.get(end.endpoint)
         if known is None or known.is_draining:
             return
@@ -85,9 +85,9 @@
             "endpoint_ended", endpoint=end.endpoint, cut=end.cut, suspects=suspects
         )
         self._measures.count("roadlift_endpoint_ends", known.service)
-        self._ledger.learn(
+        self._ledger.record_evidence(
             [
-                Sign(identity, end.endpoint, weight, 0.0)
+                CrashEvidence(identity, end.endpoint, weight, 0.0)
                 for identity, weight in end.suspects.items()
             ]
         )
--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -13,7 +13,7 @@
 from roadlift.core.loop import Timer
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.transport import Transport
-from roadlift.decisions.crashes import Sign
+from roadlift.decisions.crashes import CrashEvidence
 from roadlift.instance.aggregator import Aggregator
 from roadlift.instance.leases import Leases
 from roadlift.instance.subscription import Subscription
@@ -45,7 +45,7 @@
         self._heard_at: dict[str, float] = {}
         self._told_at: dict[str, float] = {}
         self._timer: Timer | None = None
-        self._ledger.on_news.append(self._spread)
+        self._ledger.on_evidence.append(self._spread)
         self._transport.subscribe((CrashNews,), self._take_news)
         self._transport.subscribe((CrashSum,), self._take_sum)
 
@@ -57,7 +57,7 @@
         """Tell no more."""
         self._timer.close()
 
-    def _spread(self, signs: list[Sign], besides: str = "") -> None:
+    def _spread(self, signs: list[CrashEvidence], besides: str = "") -> None:
         """Tell the others of signs that are new here."""
         for start in range(0, len(signs), MOST_TOLD):
             part = [list(sign) for sign in signs[start : start + MOST_TOLD]]
@@ -97,7 +97,7 @@
             return
         recent = {one: at for one, at in self._told_at.items() if now - at < ALL_PERIOD}
         self._told_at = {**recent, address: now}
-        signs = sorted(self._crashes.list_signs(now), key=lambda sign: sign.age)
+        signs = sorted(self._crashes.list_evidence(now), key=lambda sign: sign.age)
         told = [list(sign) for sign in signs[:MOST_TOLD]]
         news = CrashNews(self._kernel.settings.peer, told, wants_all)
         self._transport.send(address, news)
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -14,7 +14,7 @@
 from roadlift.core.logs import PartLog
 from roadlift.core.loop import Timer
 from roadlift.crashes.ledger import CrashLedger
-from roadlift.decisions.crashes import MOST_CALLS
+from roadlift.decisions.crashes import MAX_CALLS
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
 from roadlift.instance.platform import Platform
@@ -105,7 +105,7 @@
         return min((zones.index(zone) for zone in held), default=len(zones))
 
     def _weigh(self, identity: bytes) -> dict[str, int]:
-        signs = self._crashes.list_signs(self._kernel.clock.now(), identity)
+        signs = self._crashes.list_evidence(self._kernel.clock.now(), identity)
         return {sign.endpoint: sign.weight for sign in signs}
 
     def _tick(self) -> None:
@@ -120,10 +120,10 @@
         if identity not in self._due:
             return
         known = self._rows.get(identity)
-        is_full = known is None and len(self._rows) >= MOST_CALLS
+        is_full = known is None and len(self._rows) >= MAX_CALLS
         if self._is_kept(identity) or is_full:
             if is_full:
-                log.warning("No row is kept of work: there are %s.", MOST_CALLS)
+                log.warning("No row is kept of work: there are %s.", MAX_CALLS)
             self._due.discard(identity)
             return
         weights = self._weigh(identity) if self._crashes.is_refused(identity) else None
@@ -141,7 +141,7 @@
 
     def _encode(self, identity: bytes, weights: dict[str, int]) -> bytes:
         now = self._kernel.clock.now()
-        age = min(sign.age for sign in self._crashes.list_signs(now, identity))
+        age = min(sign.age for sign in self._crashes.list_evidence(now, identity))
         store_now = self._time.estimate_latest(now) if self._time else age
         return encode_row(store_now - age, weights)
 
@@ -192,4 +192,4 @@
         signs = read_row(identity, row.value, store_now)
         weights = {sign.endpoint: sign.weight for sign in signs}
         self._rows[identity] = _Known(weights, row.position)
-        self._ledger.learn(signs)
+        self._ledger.record_evidence(signs)
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -16,7 +16,7 @@
 )
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import KNOWN_DELAY
+from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.decisions.limits import Basis
 from roadlift.decisions.loading import Source
@@ -517,7 +517,7 @@
             return
         if isinstance(error, ConnectionLost):
             has_begun = self._describe_answer() == "head"
-            self._crashes.note_cut(endpoint, self._identify(), has_begun)
+            self._crashes.record_cut(endpoint, self._identify(), has_begun)
         if error.outcome is not Outcome.NOT_RUN:
             self._runs += 1
         if self._caller.started:
@@ -632,7 +632,7 @@
     def _try_again(self, error: RoadliftError) -> None:
         """Send again, behind a cut once it is known if the endpoint ended."""
         if isinstance(error, ConnectionLost | StreamCut):
-            self._kernel.loop.call_later(KNOWN_DELAY, self._try)
+            self._kernel.loop.call_later(DETECTION_DELAY, self._try)
         else:
             self._try()
 
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -4,7 +4,7 @@
 from roadlift.core.logs import PartLog
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.transport import Transport
-from roadlift.decisions.crashes import WEAK, Sign
+from roadlift.decisions.crashes import WEAK, CrashEvidence
 from roadlift.decisions.denials import Denials
 from roadlift.decisions.urgency import Urgency
 from roadlift.decisions.workload import EngineLoad, ToldLoads
@@ -307,10 +307,10 @@
     def _note_end(self, engine: OwnedEngine) -> None:
         """Learn that an engine ended: a load on its way may be the cause."""
         signs = [
-            Sign(self._identify(model), engine.endpoint.id, WEAK, 0.0)
+            CrashEvidence(self._identify(model), engine.endpoint.id, WEAK, 0.0)
             for model in engine.book.list_arriving()
         ]
-        self._ledger.learn(signs)
+        self._ledger.record_evidence(signs)
 
     def _identify(self, model: Model) -> bytes:
         return identify_load(model, self._follower.find_version(model))
--- a/roadlift/serving/crashsigns.py
+++ b/roadlift/serving/crashsigns.py
@@ -5,7 +5,7 @@
 import msgpack
 
 from roadlift.core.errors import MalformedMessage
-from roadlift.decisions.crashes import STRONG, WEAK, Sign
+from roadlift.decisions.crashes import STRONG, WEAK, CrashEvidence
 from roadlift.serving.identity import IDENTITY_SIZE
 
 MOST_NAME = 512  # Characters of an endpoint's id.
@@ -20,10 +20,10 @@
 )
 
 
-def read_signs(fields: Iterable[list]) -> list[Sign]:
+def read_signs(fields: Iterable[list]) -> list[CrashEvidence]:
     """Return the signs that a message has, or raise MalformedMessage."""
     try:
-        return [_check(Sign(*one)) for one in fields]
+        return [_check(CrashEvidence(*one)) for one in fields]
     except (TypeError, ValueError) as error:
         raise MalformedMessage(repr(error)) from error
 
@@ -45,18 +45,21 @@
         raise MalformedMessage(repr(error)) from error
 
 
-def read_row(identity: bytes, value: bytes, store_now: float) -> list[Sign]:
+def read_row(identity: bytes, value: bytes, store_now: float) -> list[CrashEvidence]:
     """Return the signs that a row has, or raise MalformedMessage."""
     try:
         ended_at, weights = msgpack.unpackb(value)
         age = max(0.0, store_now - ended_at)
-        signs = [Sign(identity, name, weight, age) for name, weight in weights.items()]
+        signs = [
+            CrashEvidence(identity, name, weight, age)
+            for name, weight in weights.items()
+        ]
         return [_check(sign) for sign in signs]
     except _UNREADABLE as error:
         raise MalformedMessage(repr(error)) from error
 
 
-def _check(sign: Sign) -> Sign:
+def _check(sign: CrashEvidence) -> CrashEvidence:
     if not isinstance(sign.identity, bytes) or len(sign.identity) != IDENTITY_SIZE:
         raise ValueError("identity")
     if not isinstance(sign.endpoint, str) or len(sign.endpoint) > MOST_NAME:
--- a/tests/steps/return_steps.py
+++ b/tests/steps/return_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from roadlift.crashes.ledger import CrashLedger
-from roadlift.decisions.crashes import STRONG, Sign
+from roadlift.decisions.crashes import STRONG, CrashEvidence
 from roadlift.instance.crashrows import TABLE
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
@@ -437,9 +437,9 @@
 
 def _refuse_work(context):
     context.identity = bytes(range(12))
-    signs = [Sign(context.identity, f"x{n}", STRONG, 0.0) for n in range(2)]
+    signs = [CrashEvidence(context.identity, f"x{n}", STRONG, 0.0) for n in range(2)]
     for entry in context.entries.entries.values():
-        entry.kernel.get(CrashLedger).learn(signs)
+        entry.kernel.get(CrashLedger).record_evidence(signs)
 
 
 @then("{seconds:g} seconds later the store keeps what is refused")
--- a/tests/steps/sign_steps.py
+++ b/tests/steps/sign_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from roadlift.core.errors import MalformedMessage
-from roadlift.decisions.crashes import STRONG, WEAK, Crashes, Sign
+from roadlift.decisions.crashes import STRONG, WEAK, Crashes, CrashEvidence
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.crashsigns import read_signs
 from roadlift.serving.identity import IDENTITY_SIZE, identify
@@ -32,10 +32,10 @@
             context.crashes.clear(_name(words[1]))
         elif words[-1] == "others":
             for index in range(int(words[1])):
-                other = Sign(_name(f"o{index}"), "e9", STRONG, 0.0)
+                other = CrashEvidence(_name(f"o{index}"), "e9", STRONG, 0.0)
                 context.crashes.merge([other], now)
         elif words[-1] != "passes":
-            sign = Sign(_name(words[1]), words[3], _WEIGHTS[words[2]], 0.0)
+            sign = CrashEvidence(_name(words[1]), words[3], _WEIGHTS[words[2]], 0.0)
             context.crashes.merge([sign], now)
 
 
@@ -54,7 +54,7 @@
         rng = random.Random(seed)
         sets = [Crashes() for _ in range(instances)]
         for _ in range(rng.randrange(1, 30)):
-            sign = Sign(
+            sign = CrashEvidence(
                 _name(rng.choice("abcd")),
                 f"e{rng.randrange(4)}",
                 rng.choice([STRONG, WEAK]),
@@ -75,7 +75,7 @@
         for _ in range(2):
             rng.shuffle(pairs)
             for one, other in pairs:
-                other.merge(one.list_signs(11.0), 11.0)
+                other.merge(one.list_evidence(11.0), 11.0)
 
 
 @then("all instances refuse the same calls and have the same checksum")
@@ -165,10 +165,10 @@
         engine = self._rng.randrange(self.ENGINES)
         self._starts[engine] += 1
         run = f"e{engine}#{self._starts[engine]}"
-        signs = [Sign(_name(name), run, STRONG, 0.0)]
+        signs = [CrashEvidence(_name(name), run, STRONG, 0.0)]
         for _ in range(self.OTHER_CALLS):
             other = f"other{self._rng.randrange(40)}"
-            signs.append(Sign(_name(other), run, WEAK, 0.0))
+            signs.append(CrashEvidence(_name(other), run, WEAK, 0.0))
         known = now + self.DETECTION_TIME
         arrivals = [known + self._rng.random() for _ in self.ledgers]
         arrivals[self.ledgers.index(ledger)] = known
