--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -15,11 +15,11 @@
 from typing import NamedTuple, Protocol
 
 from roadlift.decisions.limits import (
-    GIVEN_PART,
-    GRANT_LIFE,
-    UNSURE_PART,
+    GRANT_TTL,
+    LEASED_FRACTION,
+    UNLEASED_FRACTION,
     Claim,
-    Floor,
+    MinimumRate,
     SendLedger,
 )
 from roadlift.instance.permits import LEAST_PAUSE, UNHEARD_PAUSE
@@ -161,7 +161,7 @@
         self._limit = limit
         self._ledger = self._begin(1, limit, 0.0)
         self._former: SendLedger | None = None
-        self._floors = [Floor(self._rng.random(), 0.0) for _ in range(count)]
+        self._floors = [MinimumRate(self._rng.random(), 0.0) for _ in range(count)]
         self._ask_at = [0.0] * count
         sample = self._rng.sample(range(count), count)
         self._cut = set(sample[: int(count * trouble.cut)])
@@ -171,13 +171,13 @@
 
     def _begin(self, fence: int, limit: float, now: float) -> SendLedger:
         ledger = SendLedger(fence, now)
-        ledger.learn(Claim("", limit, True, ledger.basis, 0), now)
+        ledger.apply_claim(Claim("", limit, True, ledger.basis, 0), now)
         return ledger
 
     def set_limit(self, limit: float, now: float) -> None:
         """Let the owner hear of another limit."""
         self._limit = limit
-        self._ledger.learn(Claim("", limit, True, self._ledger.basis, 0), now)
+        self._ledger.apply_claim(Claim("", limit, True, self._ledger.basis, 0), now)
 
     def _find_ledger(self, instance: int, now: float) -> tuple[SendLedger, float]:
         """Return whom an instance asks, and the part that is given out."""
@@ -186,8 +186,8 @@
                 self._former = self._ledger
                 self._ledger = self._begin(2, self._limit, now)
             if instance % 2:
-                return self._former, UNSURE_PART
-        return self._ledger, GIVEN_PART
+                return self._former, UNLEASED_FRACTION
+        return self._ledger, LEASED_FRACTION
 
     def take(self, instance: int, now: float) -> float | None:
         """Ask the owner, unless none is free yet."""
@@ -205,7 +205,7 @@
             return None
         self.messages += 4
         ledger, part = self._find_ledger(instance, now)
-        grant = ledger.give(str(instance), self._numbers, PATIENCE, part, now)
+        grant = ledger.grant(str(instance), self._numbers, PATIENCE, part, now)
         if not grant.is_given:
             pause = max(LEAST_PAUSE, grant.delay - PATIENCE)
             self._ask_at[instance] = now + pause
@@ -215,7 +215,7 @@
             return begins_at
         # It wakes within a second, and uses what is still in time.
         woken_at = begins_at + self._rng.random()
-        return woken_at if woken_at < now + grant.delay + GRANT_LIFE else None
+        return woken_at if woken_at < now + grant.delay + GRANT_TTL else None
 
 
 WAYS = {"equal parts": EvenWay, "by demand": DemandWay, "given out": GivenWay}
--- a/roadlift/decisions/limits.py
+++ b/roadlift/decisions/limits.py
@@ -22,10 +22,10 @@
 # Fractions of a limit: granted by an owner with a valid lease, granted by one
 # without, and shared by all instances that reach no owner. Together with what
 # the lifetime of a grant adds, they stay below one and a half times the limit.
-GIVEN_PART = 1.0
-UNSURE_PART = 0.25
+LEASED_FRACTION = 1.0
+UNLEASED_FRACTION = 0.25
 MIN_RATE_FRACTION = 0.05
-GRANT_LIFE = 0.4  # Seconds in which a granted send may begin.
+GRANT_TTL = 0.4  # Seconds in which a granted send may begin.
 # Longest wait of a call for its send, in seconds: shorter than the interval
 # between two owners of a zone, so that sends granted by both never begin at
 # the same time.
@@ -84,7 +84,7 @@
     delay: float
 
 
-def adapt(limit: float | None) -> float | None:
+def normalize_limit(limit: float | None) -> float | None:
     """Return a limit that can be applied, or None if it has no effect."""
     if limit is None or limit >= MAX_LIMIT:
         return None
@@ -109,7 +109,7 @@
         """Return the basis on which sends are granted now."""
         return Basis(self._fence, self._serial)
 
-    def learn(self, limit: float | None, basis: Basis) -> bool:
+    def update(self, limit: float | None, basis: Basis) -> bool:
         """Apply the limit of an answer; return whether it changed anything."""
         before = self.limit
         if limit is not None and (before is None or limit <= before):
@@ -131,7 +131,7 @@
         self._spent: dict[str, int] = {}
         self._granted: dict[tuple[str, int], float] = {}
         self._ended_at: float | None = None
-        self.named_at = now
+        self.announced_at = now
 
     @property
     def limit(self) -> float | None:
@@ -143,22 +143,22 @@
         """Return the basis on which sends are granted now."""
         return self._record.basis
 
-    def is_forgotten(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Return whether the limit ended long ago."""
         return self._ended_at is not None and now - self._ended_at > END_RETENTION
 
-    def learn(self, claim: Claim, now: float) -> bool:
+    def apply_claim(self, claim: Claim, now: float) -> bool:
         """Apply an instance's report; return whether the limit changed."""
         before = self._record.limit
         is_new = before is None and self._ended_at is None
         has_changed = False
         if claim.is_named:
-            has_changed = self._record.learn(claim.limit, claim.basis)
+            has_changed = self._record.update(claim.limit, claim.basis)
             if claim.limit is not None:
-                self.named_at = now
+                self.announced_at = now
         elif is_new and claim.limit is not None:
             # It was reported by the previous owner.
-            has_changed = self._record.learn(claim.limit, NO_BASIS)
+            has_changed = self._record.update(claim.limit, NO_BASIS)
         if has_changed:
             self._change_rate(now)
         if has_changed and before is None:
@@ -186,11 +186,13 @@
 
     def charge(self, count: int, now: float) -> None:
         """Deduct a number of sends from later grants."""
-        charged_until = max(self._next_at, now) + count * self._interval / GIVEN_PART
+        charged_until = (
+            max(self._next_at, now) + count * self._interval / LEASED_FRACTION
+        )
         max_ahead = max(MAX_DEBT, BURST * self._interval)
         self._next_at = max(self._next_at, min(charged_until, now + max_ahead))
 
-    def give(
+    def grant(
         self, requester: str, number: int, max_wait: float, fraction: float, now: float
     ) -> Grant:
         """Grant a send that may begin within ``max_wait`` seconds.
@@ -224,7 +226,7 @@
         self._granted[requester, number] = begins_at
 
 
-class Floor:
+class MinimumRate:
     """The sends to one endpoint by an instance that reaches no owner.
 
     All such instances share a fraction of the limit equally. ``phase``, from 0
--- a/roadlift/decisions/loading.py
+++ b/roadlift/decisions/loading.py
@@ -17,7 +17,7 @@
 HALF_LIFE = 5.0
 
 
-class Source(enum.Enum):
+class AdapterSource(enum.Enum):
     """Where an engine gets an adapter from.
 
     HELD: it is in a slot there. AT_HAND: the engine held it before and still
@@ -31,11 +31,15 @@
 
 # Seconds assumed before the first sample: a transfer of some tens of
 # megabytes, a tenth of that from memory, including the messages.
-_INITIAL_ESTIMATES = {Source.HELD: 0.0, Source.AT_HAND: 0.05, Source.STORE: 0.3}
+_INITIAL_ESTIMATES = {
+    AdapterSource.HELD: 0.0,
+    AdapterSource.AT_HAND: 0.05,
+    AdapterSource.STORE: 0.3,
+}
 INITIAL_SLOT_WAIT = 0.3  # Seconds until a slot becomes free, likewise.
 
 
-class Generations:
+class GenerationTimes:
     """The seconds that a route's calls take after their first event."""
 
     def __init__(self) -> None:
@@ -101,23 +105,23 @@
         }
         self._slot_wait = _Estimate(INITIAL_SLOT_WAIT)
 
-    def note(self, source: Source, seconds: float, now: float) -> None:
+    def note(self, source: AdapterSource, seconds: float, now: float) -> None:
         """Record how long a load took for which a slot was free."""
         self._loads[source].note(seconds, now)
 
-    def note_place(self, seconds: float, now: float) -> None:
+    def record_slot_wait(self, seconds: float, now: float) -> None:
         """Record how long it took until a full engine had a free slot."""
         self._slot_wait.note(seconds, now)
 
-    def estimate(self, source: Source, now: float) -> float:
+    def estimate(self, source: AdapterSource, now: float) -> float:
         """Return how long a load takes."""
         return self._loads[source].get(now)
 
-    def estimate_safely(self, source: Source, now: float) -> float:
+    def estimate_upper_bound(self, source: AdapterSource, now: float) -> float:
         """Return a time within which nearly every load is done."""
         known = self._loads[source]
         return known.get(now) + SAFETY_FACTOR * known.compute_deviation(now)
 
-    def estimate_place(self, now: float) -> float:
+    def estimate_slot_wait(self, now: float) -> float:
         """Return how long it takes until a full engine has a free slot."""
         return self._slot_wait.get(now)
--- a/roadlift/decisions/placement.py
+++ b/roadlift/decisions/placement.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from roadlift.decisions.loading import LoadWaits, Source
+from roadlift.decisions.loading import AdapterSource, LoadWaits
 from roadlift.decisions.reading import ReadingTimes
 from roadlift.serving.directory import Endpoint
 
@@ -40,9 +40,9 @@
     """What an instance knows of an engine, for one call.
 
     ``ahead`` is the number of prompt tokens to be read there before the
-    call's; ``free_slots`` how many further adapters can be loaded now,
-    negative if others wait; ``source`` where the call's adapter is; ``rank``
-    the engine's rank among the adapter's preferred endpoints; ``queue`` the
+    call's; ``places`` the number of free adapter slots, which is negative if
+    adapters wait for one; ``source`` where the call's adapter is; ``rank`` the
+    engine's rank among the adapter's preferred endpoints; ``queue`` the
     seconds until a further load begins; ``wait`` the seconds until a send is
     available if the engine is rate-limited; one that ``is_reserved`` is
     rate-limited and kept in reserve.
@@ -51,7 +51,7 @@
     endpoint: Endpoint
     ahead: float
     places: int
-    source: Source
+    source: AdapterSource
     rank: int
     can_load: bool
     queue: float = 0.0
@@ -59,7 +59,7 @@
     is_reserved: bool = False
 
 
-class Need(NamedTuple):
+class Requirements(NamedTuple):
     """What a call requires: prompt tokens to be read, near a zone."""
 
     tokens: int
@@ -78,34 +78,39 @@
 
 
 def evaluate(
-    need: Need, engine: Engine, reading: ReadingTimes, waits: LoadWaits, now: float
+    requirements: Requirements,
+    engine: Engine,
+    reading: ReadingTimes,
+    waits: LoadWaits,
+    now: float,
 ) -> Option:
     """Return an engine with the expected wait and cost of a call."""
     token_time = reading.estimate(engine.endpoint.id, now)
     delay = waits.estimate(engine.source, now)
-    extra_cost = STORE_COST if engine.source is Source.STORE else 0.0
-    if engine.source is not Source.HELD:
+    extra_cost = STORE_COST if engine.source is AdapterSource.STORE else 0.0
+    if engine.source is not AdapterSource.HELD:
         delay += engine.queue
-    if engine.source is not Source.HELD and engine.places <= 0:
-        delay += waits.estimate_place(now) * (1 - engine.places)
+    if engine.source is not AdapterSource.HELD and engine.places <= 0:
+        delay += waits.estimate_slot_wait(now) * (1 - engine.places)
     # The prompts ahead are read while the adapter is loaded.
     expected = (
-        max(delay, engine.wait, token_time * engine.ahead) + token_time * need.tokens
+        max(delay, engine.wait, token_time * engine.ahead)
+        + token_time * requirements.tokens
     )
     if engine.is_reserved:
-        is_held = engine.source is Source.HELD
+        is_held = engine.source is AdapterSource.HELD
         extra_cost += RESERVED_COST if is_held else RESERVED_LOAD_COST
-    if engine.source is not Source.HELD:
+    if engine.source is not AdapterSource.HELD:
         extra_cost += LAST_SLOT_COST / max(1, engine.places)
-    if engine.source is Source.STORE:
+    if engine.source is AdapterSource.STORE:
         extra_cost += RANK_COST * engine.rank
-    if engine.endpoint.zone != need.zone:
+    if engine.endpoint.zone != requirements.zone:
         extra_cost += ZONE_COST
     return Option(engine, expected, expected + extra_cost)
 
 
 def choose_engine(
-    need: Need,
+    requirements: Requirements,
     engines: Iterable[Engine],
     reading: ReadingTimes,
     waits: LoadWaits,
@@ -113,9 +118,9 @@
 ) -> Option | None:
     """Return the best engine of those that can run the call, or None."""
     options = [
-        evaluate(need, engine, reading, waits, now)
+        evaluate(requirements, engine, reading, waits, now)
         for engine in engines
-        if engine.source is Source.HELD or engine.can_load
+        if engine.source is AdapterSource.HELD or engine.can_load
     ]
     return min(
         options,
--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -31,7 +31,7 @@
 
     running: int
     reading: int
-    places: int
+    free_slots: int
     loads: int = 0
     load_time: float = FIRST_DURATION
 
@@ -42,7 +42,7 @@
         )
         change = abs(self.reading - reported.reading)
         tokens = change > max(REPORT_MIN_TOKENS, REPORT_FRACTION * reported.reading)
-        is_same = (self.places, self.loads) == (reported.places, reported.loads)
+        is_same = (self.free_slots, self.loads) == (reported.free_slots, reported.loads)
         load_time_change = (
             abs(self.load_time - reported.load_time)
             > REPORT_FRACTION * reported.load_time
@@ -122,7 +122,7 @@
         report = self._reports.get(endpoint)
         if report is not None:
             load = report.load._replace(
-                places=report.load.places - 1, loads=report.load.loads + 1
+                free_slots=report.load.free_slots - 1, loads=report.load.loads + 1
             )
             self._reports[endpoint] = report._replace(load=load)
 
@@ -130,7 +130,7 @@
         """Record that an engine had no free slot."""
         report = self._reports.get(endpoint)
         if report is not None:
-            load = report.load._replace(places=min(report.load.places, 0))
+            load = report.load._replace(free_slots=min(report.load.free_slots, 0))
             self._reports[endpoint] = report._replace(load=load)
 
     def count_ahead(self, endpoint: str) -> int:
@@ -154,7 +154,7 @@
     def count_places(self, endpoint: str) -> int:
         """Return the number of free adapter slots of an engine."""
         report = self._find_report(endpoint)
-        return UNREPORTED_SLOTS if report is None else report.load.places
+        return UNREPORTED_SLOTS if report is None else report.load.free_slots
 
     def measure_queue(self, endpoint: str) -> float:
         """Return the seconds until a further load begins at an engine."""
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -19,7 +19,7 @@
 from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.decisions.limits import Basis
-from roadlift.decisions.loading import Source
+from roadlift.decisions.loading import AdapterSource
 from roadlift.decisions.resending import Sends, find_obstacle
 from roadlift.endpoints.events import EventFrames
 from roadlift.http.messages import drop_hop_by_hop
@@ -212,7 +212,7 @@
         option = self._placing.choose_engine(self._service, self.call, excluded)
         if option is None:
             return False
-        if option.engine.source is Source.HELD:
+        if option.engine.source is AdapterSource.HELD:
             self._reach(option.engine.endpoint)
             return True
         obstacle = self._ledger.judge(self._identify_load)
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -8,7 +8,7 @@
 from roadlift.core.errors import InvalidLimit
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.limits import NO_BASIS, Basis, Floor, adapt
+from roadlift.decisions.limits import NO_BASIS, Basis, MinimumRate, normalize_limit
 from roadlift.decisions.rates import Rate
 from roadlift.instance.follower import Follower
 from roadlift.instance.measures import Measures
@@ -98,7 +98,9 @@
         "told_number",
     )
 
-    def __init__(self, limit: float, spent: int, floor: Floor, now: float) -> None:
+    def __init__(
+        self, limit: float, spent: int, floor: MinimumRate, now: float
+    ) -> None:
         self.limit = limit
         self.spent = spent
         self.floor = floor
@@ -175,7 +177,7 @@
         """Learn from an answer; return what the owner should hear of it."""
         if answer.statement.has_fault(InvalidLimit):
             return None
-        limit = adapt(answer.statement.limit)
+        limit = normalize_limit(answer.statement.limit)
         if limit is None:
             return self._note_unnamed(endpoint, answer)
         now = self._clock.now()
@@ -258,7 +260,7 @@
         now = self._clock.now()
         rate = self._rates.get(endpoint)
         spent = round(rate.measure(now) * RECENT) if rate else 0
-        floor = Floor(self._rng.random(), now)
+        floor = MinimumRate(self._rng.random(), now)
         known = self._known[endpoint] = KnownLimit(limit, spent, floor, now)
         self._log(endpoint, limit, None, heard, answer)
         return known
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -12,9 +12,9 @@
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.limits import (
-    GIVEN_PART,
-    GRANT_LIFE,
-    UNSURE_PART,
+    GRANT_TTL,
+    LEASED_FRACTION,
+    UNLEASED_FRACTION,
     Basis,
     Claim,
     SendLedger,
@@ -279,7 +279,7 @@
         now = self._kernel.clock.now()
         granted = _Granted(
             now + message.delay,
-            wait.asked_at + message.delay + GRANT_LIFE,
+            wait.asked_at + message.delay + GRANT_TTL,
             Basis(*message.basis),
         )
         if not wait.is_open:
@@ -358,7 +358,7 @@
             message.spent,
         )
         before = ledger.limit
-        if ledger.learn(claim, now):
+        if ledger.apply_claim(claim, now):
             log.event(
                 "limit_given_out",
                 endpoint=message.endpoint,
@@ -366,12 +366,14 @@
                 before=before,
                 asker=message.address,
             )
-        grant = _make_grant(message, ledger.limit, ledger.basis, now - ledger.named_at)
+        grant = _make_grant(
+            message, ledger.limit, ledger.basis, now - ledger.announced_at
+        )
         if ledger.limit is None or message.patience == NO_SEND:
             return grant
         lease = self._leases.get(message.zone)
-        part = GIVEN_PART if lease.may_order(now) else UNSURE_PART
-        given = ledger.give(
+        part = LEASED_FRACTION if lease.may_order(now) else UNLEASED_FRACTION
+        given = ledger.grant(
             message.process, message.number, message.patience, part, now
         )
         return grant._replace(is_given=given.is_given, delay=round(given.delay, 4))
@@ -397,7 +399,7 @@
             found = self._follower.directory.get(endpoint)
             if found is not None and found.zone == zone:
                 ledger = SendLedger(self._leases.get(zone).fence, now)
-                ledger.learn(Claim("", known.limit, False, known.basis, 0), now)
+                ledger.apply_claim(Claim("", known.limit, False, known.basis, 0), now)
                 self._ledgers[endpoint] = ledger
 
     def list_limits(self) -> list[ToldLimit]:
@@ -408,14 +410,14 @@
         now = self._kernel.clock.now()
         for endpoint, ledger in list(self._ledgers.items()):
             is_gone = self._follower.directory.get(endpoint) is None
-            if is_gone or ledger.is_forgotten(now):
+            if is_gone or ledger.is_expired(now):
                 del self._ledgers[endpoint]
         return [
             ToldLimit(
                 endpoint,
                 ledger.limit,
                 *ledger.basis,
-                round(now - ledger.named_at, 3),
+                round(now - ledger.announced_at, 3),
             )
             for endpoint, ledger in self._ledgers.items()
         ]
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -6,8 +6,8 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.loading import Generations, LoadWaits, Source
-from roadlift.decisions.placement import Engine, Need, Option, choose_engine
+from roadlift.decisions.loading import AdapterSource, GenerationTimes, LoadWaits
+from roadlift.decisions.placement import Engine, Option, Requirements, choose_engine
 from roadlift.decisions.reading import ReadingTimes
 from roadlift.decisions.silence import SilenceWatch
 from roadlift.decisions.spread import SPARE_FILL
@@ -84,7 +84,7 @@
         self.health = self._knowledge.health
         self.paces = Paces()
         self.reading_times = ReadingTimes()
-        self.generations = Generations()
+        self.generations = GenerationTimes()
         self.silence = SilenceWatch()
         self._knowledge.on_held.append(self._wake)
         self._knowledge.on_denial.append(self._take_denial)
@@ -192,7 +192,7 @@
     ) -> Option | None:
         now = self._kernel.clock.now()
         usable = self._list_usable(service, excluded, now)
-        need = Need(tokens, self._kernel.settings.zone)
+        need = Requirements(tokens, self._kernel.settings.zone)
         engines = self._view(service, usable, model, now)
         option = choose_engine(need, engines, self.reading_times, self._loading, now)
         if option is not None:
@@ -207,7 +207,7 @@
     def estimate_load(self, option: Option) -> float:
         """Return the seconds in which a load is done that begins now."""
         now = self._kernel.clock.now()
-        return self._loading.estimate_safely(option.engine.source, now)
+        return self._loading.estimate_upper_bound(option.engine.source, now)
 
     def estimate_reading(self, option: Option, call: Call) -> float:
         """Return the seconds that an engine takes to read a call's prompt."""
@@ -262,7 +262,7 @@
         """Tell whether an engine holds what a call needs."""
         if model is None or not endpoint.holds(model.base):
             return False
-        return self._find_source(endpoint.id, model, least) is Source.HELD
+        return self._find_source(endpoint.id, model, least) is AdapterSource.HELD
 
     def _view(
         self, service: str, usable: list[Endpoint], model: Model, now: float
@@ -298,12 +298,12 @@
             one for one in usable if one.id in holders and one not in ranked
         ]
 
-    def _find_source(self, endpoint: str, model: Model, least: int) -> Source:
+    def _find_source(self, endpoint: str, model: Model, least: int) -> AdapterSource:
         if not model.adapter or self._residency.holds(endpoint, model, least):
-            return Source.HELD
+            return AdapterSource.HELD
         if self._residency.is_at_hand(endpoint, model, least):
-            return Source.AT_HAND
-        return Source.STORE
+            return AdapterSource.AT_HAND
+        return AdapterSource.STORE
 
     def count_ahead(self, endpoint: str) -> int:
         """Return about how many prompt tokens are to be read at an engine."""
@@ -439,7 +439,7 @@
         if not wish.waiters:
             self._wishes.pop(key, None)
             return
-        if option.engine.source is Source.HELD:
+        if option.engine.source is AdapterSource.HELD:
             self._wake(model, "")
         else:
             self._ask(key, wish, option.engine)
@@ -509,7 +509,7 @@
             return
         load = self._loading.estimate(wish.engine.source, now)
         waited = max(0.0, now - wish.began_at - load - queue)
-        self._loading.note_place(waited / (1 - wish.engine.places), now)
+        self._loading.record_slot_wait(waited / (1 - wish.engine.places), now)
 
     # What the owners tell.
 
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from roadlift.decisions.denials import Denials
-from roadlift.decisions.loading import LoadWaits, Source
-from roadlift.decisions.placement import Engine, Need, choose_engine, evaluate
+from roadlift.decisions.loading import AdapterSource, LoadWaits
+from roadlift.decisions.placement import Engine, Requirements, choose_engine, evaluate
 from roadlift.decisions.reading import ReadingTimes
 from roadlift.decisions.silence import SilenceWatch
 from roadlift.decisions.urgency import Urgency, merge_want
@@ -18,7 +18,7 @@
 from roadlift.serving.loads import BaseLoads, LoadTimes
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 
-_SOURCES = {source.value: source for source in Source}
+_SOURCES = {source.value: source for source in AdapterSource}
 _CHECK_INTERVAL = 0.1
 
 
@@ -26,7 +26,7 @@
     name, zone, ahead, places, source = text.split()
     endpoint = Endpoint(name, "s", Address("127.0.0.1", 1), zone, 64)
     can_load = source != "unowned"
-    found = _SOURCES.get(source, Source.STORE)
+    found = _SOURCES.get(source, AdapterSource.STORE)
     return Engine(endpoint, int(ahead), int(places), found, rank, can_load)
 
 
@@ -39,8 +39,10 @@
 
 
 def _place(context, tokens, zone):
-    need = Need(tokens, zone)
-    return choose_engine(need, context.engines, context.reading, LoadWaits(), 1.0)
+    requirements = Requirements(tokens, zone)
+    return choose_engine(
+        requirements, context.engines, context.reading, LoadWaits(), 1.0
+    )
 
 
 @then("a call of {tokens:d} tokens from {zone} is placed at {name}")
@@ -184,7 +186,7 @@
         endpoint,
         draw.choice((0, draw.randrange(60000))),
         draw.randrange(-4, 10),
-        draw.choice(list(Source)),
+        draw.choice(list(AdapterSource)),
         rank,
         draw.random() < 0.7,
     )
@@ -197,13 +199,13 @@
     context.draws = []
     for _ in range(count):
         engines = [_draw_engine(draw, rank) for rank in range(draw.randrange(8))]
-        need = Need(draw.randrange(40000), f"z{draw.randrange(3)}")
-        option = choose_engine(need, engines, ReadingTimes(), LoadWaits(), 0.0)
-        context.draws.append((need, engines, option))
+        requirements = Requirements(draw.randrange(40000), f"z{draw.randrange(3)}")
+        option = choose_engine(requirements, engines, ReadingTimes(), LoadWaits(), 0.0)
+        context.draws.append((requirements, engines, option))
 
 
 def _is_possible(engine):
-    return engine.source is Source.HELD or engine.can_load
+    return engine.source is AdapterSource.HELD or engine.can_load
 
 
 @then("each goes to an engine that holds its adapter or may load it")
@@ -222,7 +224,7 @@
 
 def _is_better(one, other):
     """Return whether an engine is no worse in all, and has less ahead."""
-    order = (Source.STORE, Source.AT_HAND, Source.HELD)
+    order = (AdapterSource.STORE, AdapterSource.AT_HAND, AdapterSource.HELD)
     mine = (-one.ahead, one.places, order.index(one.source), -one.rank)
     its = (-other.ahead, other.places, order.index(other.source), -other.rank)
     pairs = list(zip(mine, its, strict=True))
@@ -232,13 +234,13 @@
 @then("no engine is chosen if another of its zone is better in every respect")
 def step_best(context):
     """Check that a better engine does not cost more."""
-    for need, engines, option in context.draws:
+    for requirements, engines, option in context.draws:
         for other in engines:
             if option is None or not _is_possible(other):
                 continue
             is_near = other.endpoint.zone == option.engine.endpoint.zone
             if is_near and _is_better(other, option.engine):
-                found = evaluate(need, other, ReadingTimes(), LoadWaits(), 0.0)
+                found = evaluate(requirements, other, ReadingTimes(), LoadWaits(), 0.0)
                 assert found.cost >= option.cost, (other, option)
 
 
--- a/tests/steps/limit_decision_steps.py
+++ b/tests/steps/limit_decision_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from benchmarks.limits import LIMITS, TROUBLES, WAYS, play
-from roadlift.decisions.limits import GIVEN_PART, Claim, SendLedger
+from roadlift.decisions.limits import LEASED_FRACTION, Claim, SendLedger
 
 
 def _play(context, way, count, name):
@@ -55,7 +55,7 @@
 def step_owner(context, limit):
     """Open a ledger."""
     context.ledger = SendLedger(1, 0.0)
-    context.ledger.learn(Claim("a", limit, True, context.ledger.basis, 0), 0.0)
+    context.ledger.apply_claim(Claim("a", limit, True, context.ledger.basis, 0), 0.0)
 
 
 @when("a send request {case}")
@@ -66,7 +66,9 @@
     for number in range(5):
         requester = f"a{number}" if "several" in case else "a"
         sequence = 0 if "under one number" in case else number
-        grant = context.ledger.give(requester, sequence, max_wait, GIVEN_PART, 0.0)
+        grant = context.ledger.grant(
+            requester, sequence, max_wait, LEASED_FRACTION, 0.0
+        )
         if grant.is_given:
             begins.add((requester, sequence))
     context.granted = len(begins)
@@ -86,9 +88,11 @@
     ledger = context.ledger
     context.delays = []
     for now in (0.0, 20.0):
-        ledger.learn(Claim("b", 4.0, True, ledger.basis, count), now)
-        context.delays.append(ledger.give("b", int(now), 0.0, GIVEN_PART, now).delay)
-        ledger.learn(Claim("b", None, True, ledger.basis, count), now + 10.0)
+        ledger.apply_claim(Claim("b", 4.0, True, ledger.basis, count), now)
+        context.delays.append(
+            ledger.grant("b", int(now), 0.0, LEASED_FRACTION, now).delay
+        )
+        ledger.apply_claim(Claim("b", None, True, ledger.basis, count), now + 10.0)
 
 
 @then("no send is available for {least:g} second both times")
