--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -14,7 +14,12 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from roadlift.decisions.spread import NO_LOAD, OwnLoad, ServiceLoad, ServiceSpread
+from roadlift.decisions.balancing import (
+    NO_LOAD,
+    LocalLoad,
+    ServiceBalancer,
+    ServiceLoad,
+)
 from roadlift.instance.sharing import TELL_PERIOD
 from roadlift.relay.upstream import Address
 from roadlift.serving.directory import Endpoint
@@ -77,8 +82,8 @@
         self.zone = zone
         self.rng = random.Random(seed)
         self.own: dict[str, int] = {}
-        self.load = OwnLoad(0.0)
-        self.spread = ServiceSpread(zone, self.rng)
+        self.load = LocalLoad(0.0)
+        self.spread = ServiceBalancer(zone, self.rng)
 
     def choose(self, way: str, endpoints: list[Endpoint], now: float) -> Endpoint:
         """Choose as a way does."""
@@ -158,7 +163,7 @@
         usable = [one.endpoint for one in self._servers.values()]
         if not refused:
             self._counts["all"] += 1
-            instance.load.note_asked(self._now)
+            instance.load.count_request(self._now)
             refuse = instance.spread.refuse
             if self._way == "let in" and refuse(SERVICE, usable, OBJECTIVE, self._now):
                 self._counts["refused"] += 1
--- a/roadlift/decisions/spread.py
+++ b/roadlift/decisions/balancing.py
@@ -36,11 +36,11 @@
 OBJECTIVE_FRACTION = 0.6
 # Calls in progress for each slot up to which a failed call is sent again:
 # beyond that, a second attempt takes the slot of a first one.
-SPARE_FILL = 0.8
+MAX_RETRY_FILL = 0.8
 # Seconds in which the excess in the queues is to be worked off.
 SETTLE_TIME = 0.5
 # Seconds after which received loads are no longer used.
-NEWS_LIMIT = 1.2
+LOADS_MAX_AGE = 1.2
 # Shortest time until a refused caller comes back, in seconds.
 MIN_RETURN_DELAY = 0.15
 
@@ -60,7 +60,7 @@
 NO_LOAD = ServiceLoad(0.0, 0.0, 0.0)
 
 
-class OwnLoad:
+class LocalLoad:
     """The calls of one instance to one service."""
 
     def __init__(self, now: float) -> None:
@@ -68,7 +68,7 @@
         self._asked = Rate(WINDOW, now)
         self._served = Rate(WINDOW, now)
 
-    def note_asked(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Count a call that arrived, whatever its outcome."""
         self._asked.note(1.0, now)
 
@@ -131,7 +131,7 @@
     return min(1.0, max(0.0, load.served - excess / SETTLE_TIME) / load.asked)
 
 
-class ServiceSpread:
+class ServiceBalancer:
     """The load of plain services as known to one instance."""
 
     def __init__(self, local_zone: str, rng: random.Random) -> None:
@@ -148,7 +148,7 @@
         self._received_at = now
 
     def _find(self, service: str, now: float) -> Mapping[str, ServiceLoad]:
-        is_old = now - self._received_at > NEWS_LIMIT
+        is_old = now - self._received_at > LOADS_MAX_AGE
         return {} if is_old else self._loads.get(service, {})
 
     def choose_zone(
@@ -167,7 +167,7 @@
         fractions = compute_zone_fractions(self._local_zone, busy, slots)
         return self._rng.choices(list(fractions), list(fractions.values()))[0]
 
-    def measure_fill(
+    def compute_fill(
         self, service: str, endpoints: Sequence[Endpoint], now: float
     ) -> float:
         """Return the calls in progress for each slot; 0 if unknown."""
--- a/roadlift/decisions/silence.py
+++ b/roadlift/decisions/inactivity.py
@@ -28,7 +28,7 @@
         self.last_event_at = now
 
 
-class SilenceWatch:
+class InactivityMonitor:
     """The calls of this process at engines, to detect unresponsive engines."""
 
     def __init__(self, timeout: float = INACTIVITY_TIMEOUT) -> None:
@@ -47,7 +47,7 @@
         monitored = self._engines.setdefault(endpoint, _MonitoredEngine(now))
         monitored.calls[call] = on_unresponsive
 
-    def note_event(self, endpoint: str, call: object, now: float) -> None:
+    def record_event(self, endpoint: str, call: object, now: float) -> None:
         """Record an event of a call, which generates from now on."""
         monitored = self._engines.get(endpoint)
         if monitored is not None:
@@ -64,7 +64,7 @@
         if not monitored.calls:
             del self._engines[endpoint]
 
-    def find_silent(self, now: float) -> list[str]:
+    def list_unresponsive(self, now: float) -> list[str]:
         """Return the engines that stopped responding while they generate."""
         last, self._checked_at = self._checked_at, now
         if last is None or now - last > MAX_CHECK_INTERVAL:
@@ -77,7 +77,7 @@
             if monitored.generating and now - monitored.last_event_at > self._timeout
         ]
 
-    def leave(self, endpoint: str) -> None:
+    def abandon(self, endpoint: str) -> None:
         """Make all calls leave an engine."""
         monitored = self._engines.get(endpoint)
         if monitored is not None:
--- a/roadlift/decisions/placement.py
+++ b/roadlift/decisions/placement.py
@@ -44,7 +44,7 @@
     adapters wait for one; ``source`` where the call's adapter is; ``rank`` the
     engine's rank among the adapter's preferred endpoints; ``queue`` the
     seconds until a further load begins; ``wait`` the seconds until a send is
-    available if the engine is rate-limited; one that ``is_reserved`` is
+    available if the engine is rate-limited; one that ``is_in_reserve`` is
     rate-limited and kept in reserve.
     """
 
@@ -56,7 +56,7 @@
     can_load: bool
     queue: float = 0.0
     wait: float = 0.0
-    is_reserved: bool = False
+    is_in_reserve: bool = False
 
 
 class Requirements(NamedTuple):
@@ -97,7 +97,7 @@
         max(delay, engine.wait, token_time * engine.ahead)
         + token_time * requirements.tokens
     )
-    if engine.is_reserved:
+    if engine.is_in_reserve:
         is_held = engine.source is AdapterSource.HELD
         extra_cost += RESERVED_COST if is_held else RESERVED_LOAD_COST
     if engine.source is not AdapterSource.HELD:
--- a/roadlift/decisions/sources.py
+++ b/roadlift/decisions/sources.py
@@ -14,7 +14,7 @@
 
 # Seconds without a reply after which the current aggregator is left: two
 # heartbeats of 0.25 s, with margin.
-SOURCE_LIMIT = 0.65
+SOURCE_TIMEOUT = 0.65
 # The same for one that is only probed, once a second.
 STANDBY_TIMEOUT = 1.7
 # Age in seconds at which an aggregator's list of endpoints expires: two read
@@ -69,7 +69,7 @@
         self._left_at: dict[str, float] = {}
         self.current = ""
 
-    def note_reply(
+    def record_reply(
         self, address: str, asked_at: float, list_age: float, is_serving: bool
     ) -> None:
         """Record the reply to a message that was sent at ``asked_at``."""
@@ -99,7 +99,7 @@
             self.current = address
         return address
 
-    def list_others(self, candidates: Mapping[str, Candidate]) -> list[str]:
+    def list_probe_targets(self, candidates: Mapping[str, Candidate]) -> list[str]:
         """Return the aggregators to probe: the local zone's and a standby."""
         ordered = sorted(
             candidates.values(), key=lambda candidate: self._ranks[candidate.zone]
@@ -119,7 +119,7 @@
 
     def _is_alive(self, address: str, now: float) -> bool:
         reply = self._replies.get(address)
-        timeout = SOURCE_LIMIT if address == self.current else STANDBY_TIMEOUT
+        timeout = SOURCE_TIMEOUT if address == self.current else STANDBY_TIMEOUT
         return reply is not None and reply.is_serving and now - reply.asked_at < timeout
 
     def _has_new_list(self, address: str, now: float) -> bool:
@@ -140,7 +140,9 @@
             return 0
         since_try = now - self._tried_at.get(candidate.address, float("-inf"))
         timeout = (
-            SOURCE_LIMIT if candidate.address in self._replies else FIRST_REPLY_TIMEOUT
+            SOURCE_TIMEOUT
+            if candidate.address in self._replies
+            else FIRST_REPLY_TIMEOUT
         )
         if not is_alive and is_current and since_try < timeout:
             return 1 if candidate.address in self._replies else 0
--- a/roadlift/decisions/urgency.py
+++ b/roadlift/decisions/urgency.py
@@ -35,7 +35,7 @@
     limit: float = math.inf
 
 
-class Want(NamedTuple):
+class LoadRequest(NamedTuple):
     """A requested load; all fields but ``priority`` and ``hold`` are times.
 
     In seconds; after ``until`` the load would serve nobody. ``since`` is the
@@ -50,7 +50,7 @@
     until: float = math.inf
     began_at: float = 0.0
 
-    def measure_rank(self, now: float) -> tuple[bool, float]:
+    def compute_rank(self, now: float) -> tuple[bool, float]:
         """Return the sort key of load requests; the smallest goes first."""
         if self.due < now:
             return True, self.since
@@ -58,7 +58,9 @@
         return False, self.due + penalty
 
 
-def merge_want(known: Want | None, urgency: Urgency, now: float, since: float) -> Want:
+def merge_load_request(
+    known: LoadRequest | None, urgency: Urgency, now: float, since: float
+) -> LoadRequest:
     """Return a request merged with a repeated one; a new one is ``since``.
 
     It is due when the last of the calls is, as it serves all that wait then.
@@ -66,8 +68,8 @@
     due = now + urgency.slack
     until = now + urgency.limit
     if known is None:
-        return Want(urgency.priority, due, urgency.hold, since, until, now)
+        return LoadRequest(urgency.priority, due, urgency.hold, since, until, now)
     priority = min(urgency.priority, known.priority)
     due = max(due, known.due)
     until = max(until, known.until)
-    return Want(priority, due, urgency.hold, known.since, until, known.began_at)
+    return LoadRequest(priority, due, urgency.hold, known.since, until, known.began_at)
--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -50,7 +50,7 @@
         return calls or tokens or load_time_change or not is_same
 
 
-class ToldLoads:
+class ReportedLoads:
     """The loads of engines as last reported to one or more receivers."""
 
     def __init__(self) -> None:
@@ -94,22 +94,22 @@
 
     def change_reading(self, endpoint: str, tokens: int) -> None:
         """Add prompt tokens that were sent; negative if they were read."""
-        self._reading[endpoint] = max(0, self.count_own_reading(endpoint) + tokens)
+        self._reading[endpoint] = max(0, self.count_local_reading(endpoint) + tokens)
 
-    def count_own_reading(self, endpoint: str) -> int:
+    def count_local_reading(self, endpoint: str) -> int:
         """Return the unread prompt tokens of this process's calls."""
         return self._reading.get(endpoint, 0)
 
-    def note_told(
+    def record_report(
         self, endpoint: str, zone: str, load: EngineLoad, local_running: int
     ) -> None:
         """Record an owner's report, and the local load at that time."""
-        local_reading = self.count_own_reading(endpoint)
+        local_reading = self.count_local_reading(endpoint)
         self._reports[endpoint] = _ReportedLoad(
             load, zone, local_running, local_reading
         )
 
-    def pass_over(self, zones: Collection[str]) -> None:
+    def ignore_zones(self, zones: Collection[str]) -> None:
         """Ignore the reports for zones whose owners stopped responding."""
         self._ignored_zones = set(zones)
 
@@ -117,7 +117,7 @@
         report = self._reports.get(endpoint)
         return None if report is None or report.zone in self._ignored_zones else report
 
-    def take_place(self, endpoint: str) -> None:
+    def reserve_slot(self, endpoint: str) -> None:
         """Count a load that this process requested, and its slot."""
         report = self._reports.get(endpoint)
         if report is not None:
@@ -126,7 +126,7 @@
             )
             self._reports[endpoint] = report._replace(load=load)
 
-    def deny_place(self, endpoint: str) -> None:
+    def mark_full(self, endpoint: str) -> None:
         """Record that an engine had no free slot."""
         report = self._reports.get(endpoint)
         if report is not None:
@@ -135,7 +135,7 @@
 
     def count_ahead(self, endpoint: str) -> int:
         """Return an estimate of the prompt tokens to be read at an engine."""
-        local = self.count_own_reading(endpoint)
+        local = self.count_local_reading(endpoint)
         report = self._find_report(endpoint)
         if report is None:
             return local
@@ -151,7 +151,7 @@
             return local
         return max(local, report.load.running + local - report.local_running)
 
-    def count_places(self, endpoint: str) -> int:
+    def count_free_slots(self, endpoint: str) -> int:
         """Return the number of free adapter slots of an engine."""
         report = self._find_report(endpoint)
         return UNREPORTED_SLOTS if report is None else report.load.free_slots
--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -12,7 +12,7 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.daemon.transport import Transport
-from roadlift.decisions.workload import ToldLoads
+from roadlift.decisions.workload import ReportedLoads
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
@@ -81,7 +81,7 @@
         self._stream = zlib.crc32(process.encode()) or 1
         self._news = NewsLog()
         self._changes: list[Change] = []
-        self._told = ToldLoads()
+        self._told = ReportedLoads()
         self._digest_timer = None
         self._subscribers: dict[str, Subscriber] = {}
         self._heirs: dict[str, Subscriber] = {}
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -416,7 +416,7 @@
         if self._is_reading:
             self._learn_reading()
             self._note_read()
-        self._placing.silence.note_event(self._endpoint.id, self, now)
+        self._placing.silence.record_event(self._endpoint.id, self, now)
 
     def _on_silent(self) -> None:
         """Leave an engine that went silent, where the call may run again."""
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -156,7 +156,7 @@
             load = read_fields(EngineLoad, fields)
             own = self.health.count_running(endpoint)
             self._loads[endpoint] = load
-            self.workload.note_told(endpoint, known.zone, load, own)
+            self.workload.record_report(endpoint, known.zone, load, own)
         for listener in self.on_loads:
             listener()
 
@@ -219,7 +219,7 @@
         silent = [
             zone for zone in self._owners if self.measure_silence(zone) > OWNER_LIMIT
         ]
-        self.workload.pass_over(silent)
+        self.workload.ignore_zones(silent)
 
     def _forget_gone(self) -> None:
         known = {endpoint.id for endpoint in self._follower.directory.list_all()}
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -6,11 +6,11 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
+from roadlift.decisions.balancing import MAX_RETRY_FILL
+from roadlift.decisions.inactivity import InactivityMonitor
 from roadlift.decisions.loading import AdapterSource, GenerationTimes, LoadWaits
 from roadlift.decisions.placement import Engine, Option, Requirements, choose_engine
 from roadlift.decisions.reading import ReadingTimes
-from roadlift.decisions.silence import SilenceWatch
-from roadlift.decisions.spread import SPARE_FILL
 from roadlift.decisions.urgency import Urgency
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
@@ -85,7 +85,7 @@
         self.paces = Paces()
         self.reading_times = ReadingTimes()
         self.generations = GenerationTimes()
-        self.silence = SilenceWatch()
+        self.silence = InactivityMonitor()
         self._knowledge.on_held.append(self._wake)
         self._knowledge.on_denial.append(self._take_denial)
         self._follower.on_directory.append(self._forget_gone)
@@ -125,8 +125,8 @@
         """
         usable = self._list_open(service, excluded, now)
         others = [one for one in usable if not self._limits.is_spared(one.id)]
-        fill = self._services.spread.measure_fill(service, others, now)
-        return others if others and fill < SPARE_FILL else usable
+        fill = self._services.spread.compute_fill(service, others, now)
+        return others if others and fill < MAX_RETRY_FILL else usable
 
     def _list_open(
         self, service: str, excluded: set[str], now: float
@@ -165,7 +165,7 @@
         None lets it in; ``objective`` is in seconds.
         """
         now = self._kernel.clock.now()
-        self._services.find_own(service).note_asked(now)
+        self._services.find_own(service).count_request(now)
         usable = self._list_open(service, set(), now)
         if not usable:
             return None
@@ -175,8 +175,8 @@
         """Tell whether a plain service has slots to spare for second tries."""
         now = self._kernel.clock.now()
         usable = self._list_open(service, set(), now)
-        fill = self._services.spread.measure_fill(service, usable, now)
-        return fill < SPARE_FILL
+        fill = self._services.spread.compute_fill(service, usable, now)
+        return fill < MAX_RETRY_FILL
 
     def choose_engine(
         self, service: str, call: Call, excluded: set[str]
@@ -217,13 +217,13 @@
 
     def _look_for_silence(self) -> None:
         now = self._kernel.clock.now()
-        silent = self.silence.find_silent(now)
+        silent = self.silence.list_unresponsive(now)
         for endpoint in silent:
             self.health.note_absence(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
         # All are known to be silent before a call chooses another engine.
         for endpoint in silent:
-            self.silence.leave(endpoint)
+            self.silence.abandon(endpoint)
 
     def _list_usable(
         self, service: str, excluded: set[str], now: float
@@ -274,7 +274,7 @@
             Engine(
                 endpoint,
                 self.count_ahead(endpoint.id),
-                self._workload.count_places(endpoint.id),
+                self._workload.count_free_slots(endpoint.id),
                 self._find_source(endpoint.id, model, least),
                 rank,
                 self._knowledge.has_owner(endpoint.zone),
@@ -397,7 +397,7 @@
         wish.denied.pop(endpoint.id, None)
         wish.engine = engine
         self._send_ask(endpoint, model, wish.measure_urgency(wish.asked_at))
-        self._workload.take_place(endpoint.id)
+        self._workload.reserve_slot(endpoint.id)
         for waiter in wish.waiters:
             self._commit(waiter, endpoint)
             waiter.on_ask(endpoint)
@@ -517,7 +517,7 @@
         model = Model(denial.base, denial.adapter)
         for (service, wanted), wish in list(self._wishes.items()):
             if wanted == model and wish.endpoint == denial.endpoint:
-                self._workload.deny_place(denial.endpoint)
+                self._workload.mark_full(denial.endpoint)
                 wish.denied[denial.endpoint] = self._kernel.clock.now()
                 self._ask_elsewhere((service, wanted), wish)
 
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -5,12 +5,12 @@
 from typing import NamedTuple
 
 from roadlift.core.kernel import Kernel, parts
-from roadlift.decisions.spread import (
-    NEWS_LIMIT,
+from roadlift.decisions.balancing import (
+    LOADS_MAX_AGE,
     NO_LOAD,
-    OwnLoad,
+    LocalLoad,
+    ServiceBalancer,
     ServiceLoad,
-    ServiceSpread,
 )
 
 # Calls under way and calls a second below which a service is not told.
@@ -44,10 +44,10 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self._zone = kernel.settings.zone
-        self._own: dict[str, OwnLoad] = {}
+        self._own: dict[str, LocalLoad] = {}
         self._members: dict[str, _Teller] = {}
         self._others: dict[str, _Teller] = {}
-        self.spread = ServiceSpread(self._zone, random.Random(kernel.stamp))
+        self.spread = ServiceBalancer(self._zone, random.Random(kernel.stamp))
 
     def start(self) -> None:
         """Do nothing; calls come later."""
@@ -55,11 +55,11 @@
     def close(self) -> None:
         """Do nothing."""
 
-    def find_own(self, service: str) -> OwnLoad:
+    def find_own(self, service: str) -> LocalLoad:
         """Return the load of a service by this process."""
         load = self._own.get(service)
         if load is None:
-            load = self._own[service] = OwnLoad(self._clock.now())
+            load = self._own[service] = LocalLoad(self._clock.now())
         return load
 
     # Tellings.
@@ -107,7 +107,7 @@
         """Add up what those tell that were heard of late."""
         now = self._clock.now()
         for address, teller in list(tellers.items()):
-            if now - teller.heard_at > NEWS_LIMIT:
+            if now - teller.heard_at > LOADS_MAX_AGE:
                 del tellers[address]
             else:
                 _sum_up(teller.loads, found)
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -8,7 +8,7 @@
 from roadlift.core.logs import PartLog
 from roadlift.core.loop import Timer
 from roadlift.daemon.transport import Transport
-from roadlift.decisions.sources import SOURCE_LIMIT, Candidate, Sources
+from roadlift.decisions.sources import SOURCE_TIMEOUT, Candidate, Sources
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
@@ -122,7 +122,7 @@
             self.beat(True)
         self._probe_others(candidates, now)
         if self._sources.is_alive(now):
-            self._follower.note_heard(now + SOURCE_LIMIT, self._members)
+            self._follower.note_heard(now + SOURCE_TIMEOUT, self._members)
             self._leases.note_members(self._members)
 
     def _list_candidates(self) -> dict[str, Candidate]:
@@ -141,7 +141,7 @@
         if now - self._probe_at < PROBE_PERIOD:
             return
         self._probe_at = now
-        for address in self._sources.list_others(candidates):
+        for address in self._sources.list_probe_targets(candidates):
             self._send(address, WholeTelling(0, False, []), True, now)
 
     def _leave(self, address: str) -> None:
@@ -209,7 +209,7 @@
         address = reply.address
         age = reply.list_age
         if reply.asked_at:
-            self._sources.note_reply(address, reply.asked_at, age, reply.is_serving)
+            self._sources.record_reply(address, reply.asked_at, age, reply.is_serving)
         if address != self._sources.current:
             return
         if reply.stream != self._stream:
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -105,7 +105,7 @@
             self._source.plan()
 
     def _count_reading(self, endpoint: str) -> int:
-        own = self._knowledge.workload.count_own_reading(endpoint)
+        own = self._knowledge.workload.count_local_reading(endpoint)
         return own + self._members.count_reading(endpoint)
 
     def send_ask(self, ask: Ask) -> None:
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -7,7 +7,7 @@
 from roadlift.decisions.crashes import WEAK, CrashEvidence
 from roadlift.decisions.denials import Denials
 from roadlift.decisions.urgency import Urgency
-from roadlift.decisions.workload import EngineLoad, ToldLoads
+from roadlift.decisions.workload import EngineLoad, ReportedLoads
 from roadlift.instance.engine import OwnedEngine
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
@@ -56,7 +56,7 @@
         self._subscribers: dict[str, float] = {}
         self._members: dict[str, int] = {}
         self._pulsed_at: dict[str, float] = {}
-        self._told: dict[str, ToldLoads] = {}
+        self._told: dict[str, ReportedLoads] = {}
         self._completeness = Completeness()
         self._changes: list[Change] = []
         self._news_timer = None
@@ -165,7 +165,7 @@
 
     def _list_changed(self, address: str, now: float) -> list:
         """Return the loads of engines that are not as this instance knows."""
-        told = self._told.setdefault(address, ToldLoads())
+        told = self._told.setdefault(address, ReportedLoads())
         return told.list_changed(self._measure_loads(now), now)
 
     def _measure_loads(self, now: float) -> dict[str, EngineLoad]:
--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from roadlift.decisions.denials import Denials
-from roadlift.decisions.urgency import Urgency, Want, merge_want
+from roadlift.decisions.urgency import LoadRequest, Urgency, merge_load_request
 from roadlift.policy.eviction import AgedFrequencyEvictor, UseHistory
 from roadlift.serving.calls import Model
 from roadlift.serving.copies import NEXT_POLL, Copy, CopyState
@@ -66,7 +66,7 @@
 
     model: Model
     least: int
-    want: Want
+    want: LoadRequest
     asked_at: float
 
 
@@ -228,7 +228,7 @@
             return False
         if known is not None:
             least = max(least, known.least)
-        want = merge_want(known.want if known else None, urgency, now, since)
+        want = merge_load_request(known.want if known else None, urgency, now, since)
         self._wanted[model] = Wanted(model, least, want, now)
         return True
 
@@ -405,7 +405,7 @@
             return plan
         self._drop_stale(now)
         ranked = sorted(
-            self._wanted.values(), key=lambda one: one.want.measure_rank(now)
+            self._wanted.values(), key=lambda one: one.want.compute_rank(now)
         )
         for wanted in ranked:
             copy = self.copies.get(wanted.model)
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -5,11 +5,11 @@
 from behave import given, then, when
 
 from roadlift.decisions.denials import Denials
+from roadlift.decisions.inactivity import InactivityMonitor
 from roadlift.decisions.loading import AdapterSource, LoadWaits
 from roadlift.decisions.placement import Engine, Requirements, choose_engine, evaluate
 from roadlift.decisions.reading import ReadingTimes
-from roadlift.decisions.silence import SilenceWatch
-from roadlift.decisions.urgency import Urgency, merge_want
+from roadlift.decisions.urgency import Urgency, merge_load_request
 from roadlift.decisions.workload import EngineLoad, Workload
 from roadlift.relay.upstream import Address
 from roadlift.serving.calls import Model
@@ -81,15 +81,15 @@
         workload.change_reading("e", -int(words[1]))
     elif words[0] == "report":
         load = EngineLoad(0, int(words[1]), int(words[3]))
-        workload.note_told("e", "z", load, 0)
+        workload.record_report("e", "z", load, 0)
     elif did == "requests":
-        workload.take_place("e")
+        workload.reserve_slot("e")
     elif did == "is denied":
-        workload.deny_place("e")
+        workload.mark_full("e")
     elif did == "e is gone":
         workload.forget(())
     elif did != "nothing":
-        workload.pass_over({"z"} if did == "z is unresponsive" else ())
+        workload.ignore_zones({"z"} if did == "z is unresponsive" else ())
 
 
 @when('the load of e in z has the history "{history}"')
@@ -104,7 +104,7 @@
 def step_load(context, ahead, slots):
     """Check what is known of the engine."""
     workload = context.workload
-    found = workload.count_ahead("e"), workload.count_places("e")
+    found = workload.count_ahead("e"), workload.count_free_slots("e")
     assert found == (ahead, slots), found
 
 
@@ -134,13 +134,15 @@
         name, priority, slack, hold = text.split()
         urgency = Urgency(int(priority), float(slack), float(hold))
         known = context.requests.get(name)
-        context.requests[name] = merge_want(known, urgency, index * 1e-6, index * 1e-6)
+        context.requests[name] = merge_load_request(
+            known, urgency, index * 1e-6, index * 1e-6
+        )
 
 
 @then("at {at:g} they are ordered as {order}")
 def step_ordered(context, at, order):
     """Check which gets a slot first."""
-    rank = lambda name: context.requests[name].measure_rank(at)
+    rank = lambda name: context.requests[name].compute_rank(at)
     assert sorted(context.requests, key=rank) == order.split()
 
 
@@ -151,7 +153,7 @@
 
 
 def _replay(history, until):
-    watch, left, now = SilenceWatch(), [], 0.0
+    watch, left, now = InactivityMonitor(), [], 0.0
     steps = [(float(at), did.split()) for at, did in history]
     while now <= until + 1e-9:
         while steps and steps[0][0] <= now + 1e-9:
@@ -162,11 +164,11 @@
                 name = words[0]
                 watch.begin("e", name, lambda name=name: left.append(name), at)
             elif words[1] == "receives":
-                watch.note_event("e", words[0], at)
+                watch.record_event("e", words[0], at)
             else:
                 watch.end("e", words[0])
-        for endpoint in watch.find_silent(now):
-            watch.leave(endpoint)
+        for endpoint in watch.list_unresponsive(now):
+            watch.abandon(endpoint)
             for name in left:
                 watch.end(endpoint, name)
         now += _CHECK_INTERVAL
@@ -314,7 +316,7 @@
 def step_loads_ahead(context, loads, seconds):
     """Record a report."""
     context.workload = Workload()
-    context.workload.note_told("e", "z", EngineLoad(0, 0, 9, loads, seconds), 0)
+    context.workload.record_report("e", "z", EngineLoad(0, 0, 9, loads, seconds), 0)
 
 
 @then("a further load there begins in {seconds:g} seconds")
--- a/tests/steps/service_steps.py
+++ b/tests/steps/service_steps.py
@@ -5,10 +5,10 @@
 from behave import given, then, when
 
 from benchmarks.services import SERVICE, play
-from roadlift.decisions.spread import (
+from roadlift.decisions.balancing import (
     LOCAL_FRACTION,
+    ServiceBalancer,
     ServiceLoad,
-    ServiceSpread,
     compute_admitted_fraction,
     compute_zone_fractions,
 )
@@ -116,7 +116,7 @@
 )
 def step_spread(context, busy, slots, served):
     """Keep the load that is reported."""
-    context.spread = ServiceSpread("z1", random.Random(3))
+    context.spread = ServiceBalancer("z1", random.Random(3))
     context.load = ServiceLoad(busy, 0.0, served)
     context.endpoints = [Endpoint("e", SERVICE, Address("10.0.0.1", 80), "z1", slots)]
 
--- a/tests/steps/source_steps.py
+++ b/tests/steps/source_steps.py
@@ -53,7 +53,7 @@
         ):
             return
         is_serving = not self.is_("idle", name, now)
-        sources.note_reply(name, now, self.measure_age(name, now), is_serving)
+        sources.record_reply(name, now, self.measure_age(name, now), is_serving)
 
 
 @when('the owners have the history "{history}"')
@@ -77,7 +77,7 @@
                 owners.answer(sources, current, now)
         if now >= probe_at:
             probe_at = now + _PROBE
-            for name in sources.list_others(candidates):
+            for name in sources.list_probe_targets(candidates):
                 owners.answer(sources, name, now)
 
 
