--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -15,13 +15,13 @@
 
 from roadlift.instance.sharing import TELL_PERIOD
 from roadlift.organisations.fleet import FleetUse, Use
-from roadlift.organisations.shares import Limits, Meter
+from roadlift.organisations.shares import AllowanceTolerance, Meter
 from roadlift.organisations.sharing import DemandSharing, EvenSharing, Sharing
 from roadlift.serving.routes import Allowance
 
 NAME = "red"
 ALLOWANCE = Allowance(100_000.0, 100_000.0, True, 200)
-LIMITS = Limits(0.1, 110_000.0, 8.0)
+LIMITS = AllowanceTolerance(0.1, 110_000.0, 8.0)
 STEP = 0.05  # Seconds of virtual time between looks at what is due.
 WAY = 0.005  # Seconds of a message's way.
 LEAD = 12.0  # Seconds before the calls that are judged.
@@ -195,11 +195,11 @@
     def _tell_others(self, zone: int) -> None:
         own = self._aggregators[zone]
         others = [other for other in range(self.ZONES) if other != zone]
-        own.keep_others([str(other) for other in others], self.now)
+        own.update_others([str(other) for other in others], self.now)
         totals, members = own.list_totals(), own.count_members()
         for other in others:
             if not self._is_cut(zone, other):
-                note = self._aggregators[other].note_other
+                note = self._aggregators[other].record_other
                 self._send(
                     lambda note=note: note(
                         str(zone), id(own), members, totals, self.now
@@ -212,9 +212,9 @@
 
         def hear() -> None:
             """Let the aggregator take it, and answer."""
-            aggregator.note_member(str(one.number), process, uses, self.now)
+            aggregator.record_member(str(one.number), process, uses, self.now)
             states = aggregator.describe(str(one.number), self.now)
-            self._send(lambda: sharing.note_news(states, asked_at))
+            self._send(lambda: sharing.record_update(states, asked_at))
 
         self._send(hear)
 
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -25,7 +25,7 @@
 from roadlift.instance.permits import LEAST_PAUSE, UNHEARD_PAUSE
 from roadlift.instance.sharing import TELL_PERIOD
 from roadlift.organisations.fleet import FleetUse, Use
-from roadlift.organisations.shares import Limits, Meter
+from roadlift.organisations.shares import AllowanceTolerance, Meter
 from roadlift.organisations.sharing import DemandSharing
 from roadlift.serving.routes import Allowance
 from standins.limits import FACTOR, SLACK, WINDOW
@@ -111,7 +111,7 @@
     def __init__(self, count: int, limit: float, trouble: Trouble, seed: int) -> None:
         self._rng = random.Random(seed)
         self._trouble = trouble
-        self._bounds = Limits(FACTOR - 1.0, SLACK, WINDOW)
+        self._bounds = AllowanceTolerance(FACTOR - 1.0, SLACK, WINDOW)
         allowance = Allowance(limit, limit, False, 1)
         self._fleet = FleetUse(self._bounds)
         self._fleet.set_allowances({NAME: allowance})
@@ -137,11 +137,11 @@
         self._told_at[instance] = now
         self.messages += 2
         meter = self._meters[instance]
-        self._fleet.keep_others((), now)
+        self._fleet.update_others((), now)
         uses = [Use(NAME, meter.spent, meter.demand.measure(now))]
-        self._fleet.note_member(str(instance), 1, uses, now)
+        self._fleet.record_member(str(instance), 1, uses, now)
         states = self._fleet.describe(str(instance), now)
-        self._shares[instance].note_news(states, now)
+        self._shares[instance].record_update(states, now)
 
     def take(self, instance: int, now: float) -> float | None:
         """Send where anything is left of this instance's share."""
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -203,7 +203,7 @@
     def _hear(self, sums: Mapping[str, Mapping[str, ServiceLoad]]) -> None:
         for instances in self._instances.values():
             for one in instances:
-                one.spread.note_news(sums, self._now)
+                one.spread.record_update(sums, self._now)
 
 
 def _make_endpoint(name: str, zone: str) -> Endpoint:
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -187,7 +187,7 @@
         if self._kept is not None:
             self._kept.clear()
         endpoint = self._name_endpoint()
-        self._rests.note_send(endpoint)
+        self._rests.record_send(endpoint)
         # The call may wait for its connection when the endpoint wants rest.
         may_send = lambda: self._rests.is_awake(endpoint)
         self._open(address, request._replace(may_send=may_send))
@@ -224,9 +224,9 @@
         """Learn whether the endpoint wants calls from this process."""
         endpoint = self._name_endpoint()
         if status in TURNED_AWAY:
-            self._rests.note_rest(endpoint, read_retry_after(headers))
+            self._rests.record_backoff(endpoint, read_retry_after(headers))
         else:
-            self._rests.note_taken(endpoint, self._sent_at)
+            self._rests.record_accepted(endpoint, self._sent_at)
 
     def receive_body(self, data: bytes) -> None:
         """Relay body bytes and feel the caller's back-pressure."""
--- a/roadlift/daemon/rests.py
+++ b/roadlift/daemon/rests.py
@@ -4,7 +4,7 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.standing import Standing
+from roadlift.decisions.availability import EndpointAvailability
 
 log = PartLog("rests")
 
@@ -22,7 +22,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self._rng = random.Random(kernel.stamp)
-        self._known: dict[str, Standing] = {}
+        self._known: dict[str, EndpointAvailability] = {}
 
     def start(self) -> None:
         """Do nothing; answers come later."""
@@ -33,29 +33,29 @@
     def measure(self, endpoint: str) -> float:
         """Return the seconds until a call may be tried at an endpoint."""
         known = self._known.get(endpoint)
-        return known.measure_rest(self._clock.now()) if known else 0.0
+        return known.compute_backoff(self._clock.now()) if known else 0.0
 
     def is_awake(self, endpoint: str) -> bool:
         """Tell whether an endpoint's rest is over."""
         known = self._known.get(endpoint)
-        return known is None or self._clock.now() >= known.rest_until
+        return known is None or self._clock.now() >= known.backoff_until
 
-    def note_send(self, endpoint: str) -> None:
+    def record_send(self, endpoint: str) -> None:
         """Count a call that is sent."""
         if endpoint in self._known:
-            self._known[endpoint].note_send(self._clock.now())
+            self._known[endpoint].record_send(self._clock.now())
 
-    def note_taken(self, endpoint: str, sent_at: float) -> None:
+    def record_accepted(self, endpoint: str, sent_at: float) -> None:
         """Learn that a call was not turned away."""
         if endpoint in self._known:
-            self._known[endpoint].note_taken(sent_at)
+            self._known[endpoint].record_accepted(sent_at)
 
-    def note_rest(self, endpoint: str, seconds: float) -> None:
+    def record_backoff(self, endpoint: str, seconds: float) -> None:
         """Learn that an endpoint turned a call away and asked for rest."""
         if not endpoint or not seconds:
             return
-        standing = self._known.setdefault(endpoint, Standing())
+        standing = self._known.setdefault(endpoint, EndpointAvailability())
         is_new = self.is_awake(endpoint)
-        standing.note_rest(seconds, self._rng.random(), self._clock.now())
+        standing.record_backoff(seconds, self._rng.random(), self._clock.now())
         if is_new:
             log.event("endpoint_resting", endpoint=endpoint, asked=seconds)
--- a/roadlift/decisions/standing.py
+++ b/roadlift/decisions/availability.py
@@ -29,55 +29,55 @@
 MAX_BACKOFF = 3600.0
 
 
-class Standing:
+class EndpointAvailability:
     """What one run of an endpoint announced to this instance."""
 
     def __init__(self) -> None:
-        self.left_at: float | None = None
-        self.rest_until = float("-inf")
+        self.drain_notice_at: float | None = None
+        self.backoff_until = float("-inf")
         self._max_trials = MAX_TRIALS
         self._trials: list[float] = []  # Times of sends without an answer yet.
 
-    def note_leaving(self, now: float) -> bool:
+    def record_drain_notice(self, now: float) -> bool:
         """Record a drain notice; return whether it is the first."""
-        is_new = self.left_at is None
+        is_new = self.drain_notice_at is None
         if is_new:
-            self.left_at = now
+            self.drain_notice_at = now
         return is_new
 
-    def note_rest(self, seconds: float, draw: float, now: float) -> bool:
+    def record_backoff(self, seconds: float, draw: float, now: float) -> bool:
         """Record a requested back-off; return whether it ends later now.
 
         ``draw``, from 0 to 1, is this instance's random number for the jitter.
         """
         seconds = min(MAX_BACKOFF, seconds)
         until = now + seconds + draw * min(MAX_JITTER, JITTER_FRACTION * seconds)
-        is_longer = until > self.rest_until
-        self.rest_until = max(self.rest_until, until)
+        is_longer = until > self.backoff_until
+        self.backoff_until = max(self.backoff_until, until)
         self._max_trials = 1
         self._trials.clear()
         return is_longer
 
-    def note_send(self, now: float) -> None:
+    def record_send(self, now: float) -> None:
         """Count a send; during a slow start it is a trial."""
         if self._max_trials < MAX_TRIALS:
             self._trials.append(now)
 
-    def note_taken(self, sent_at: float) -> None:
+    def record_accepted(self, sent_at: float) -> None:
         """Record that a call sent at a time was not rejected.
 
         A call that was sent before the back-off says nothing about it.
         """
-        if sent_at >= self.rest_until and self._trials:
+        if sent_at >= self.backoff_until and self._trials:
             self._trials.pop(0)
             self._max_trials += 1
 
-    def measure_rest(self, now: float) -> float:
+    def compute_backoff(self, now: float) -> float:
         """Return the seconds until a call may be tried there."""
-        if now < self.rest_until:
-            return self.rest_until - now
+        if now < self.backoff_until:
+            return self.backoff_until - now
         while self._trials and now - self._trials[0] >= TRIAL_TIME:
-            self.note_taken(now)
+            self.record_accepted(now)
         if len(self._trials) < self._max_trials:
             return 0.0
         return self._trials[0] + TRIAL_TIME - now
@@ -88,11 +88,13 @@
         ``drain`` is the number of seconds for which a draining endpoint
         accepts calls.
         """
-        if self.left_at is None:
+        if self.drain_notice_at is None:
             return False
-        return now - self.left_at < LAST_RESORT_FRACTION * drain
+        return now - self.drain_notice_at < LAST_RESORT_FRACTION * drain
 
     def may_send(self, drain: float, now: float) -> bool:
         """Return whether a call that was placed there may still be sent."""
-        is_left = self.left_at is not None and not self.is_last_resort(drain, now)
-        return now >= self.rest_until and not is_left
+        is_left = self.drain_notice_at is not None and not self.is_last_resort(
+            drain, now
+        )
+        return now >= self.backoff_until and not is_left
--- a/roadlift/decisions/balancing.py
+++ b/roadlift/decisions/balancing.py
@@ -140,7 +140,7 @@
         self._loads: Mapping[str, Mapping[str, ServiceLoad]] = {}
         self._received_at = float("-inf")
 
-    def note_news(
+    def record_update(
         self, loads: Mapping[str, Mapping[str, ServiceLoad]], now: float
     ) -> None:
         """Replace the loads, by service and by zone of the instances."""
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -10,8 +10,8 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.instance.follower import Follower
 from roadlift.instance.measures import Measures
-from roadlift.organisations.fleet import LEAST_DEMAND, FleetState, FleetUse, Use
-from roadlift.organisations.shares import Limits, Meter
+from roadlift.organisations.fleet import MIN_DEMAND, FleetState, FleetUse, Use
+from roadlift.organisations.shares import AllowanceTolerance, Meter
 from roadlift.organisations.sharing import DemandSharing
 from roadlift.serving.routes import Allowance, Configuration, Organisation
 
@@ -23,11 +23,11 @@
 class UseNow(NamedTuple):
     """What calls of an organisation are judged by here.
 
-    ``part`` is of its allowance, ``used`` since the start, ``demand`` is
+    ``fraction`` is of its allowance, ``used`` since the start, ``demand`` is
     asked for, a second, and ``news_age`` is in seconds.
     """
 
-    part: float
+    fraction: float
     used: float
     demand: float
     news_age: float
@@ -44,7 +44,7 @@
         settings = kernel.settings
         self._kernel = kernel
         self._measures = kernel.get(Measures)
-        self._limits = Limits(
+        self._limits = AllowanceTolerance(
             settings.allowance_over,
             settings.allowance_slack,
             settings.allowance_window,
@@ -85,10 +85,10 @@
             return None
         now = self._kernel.clock.now()
         return UseNow(
-            meter.share.part,
+            meter.share.fraction,
             meter.spent,
             meter.demand.measure(now),
-            now - self._sharing.heard_at,
+            now - self._sharing.known_at,
         )
 
     def _find_meter(self, name: str) -> Meter | None:
@@ -124,17 +124,17 @@
         found = []
         for name, meter in self._meters.items():
             demand = meter.demand.measure(now)
-            if demand >= LEAST_DEMAND:
+            if demand >= MIN_DEMAND:
                 found.append(Use(name, round(meter.spent, 2), round(demand, 2)))
         return found
 
-    def note_news(self, states: list[FleetState], asked_at: float) -> None:
+    def record_update(self, states: list[FleetState], asked_at: float) -> None:
         """Take what an aggregator answered to what was told at a time."""
-        self._sharing.note_news(states, asked_at)
+        self._sharing.record_update(states, asked_at)
 
     def _measure(self, now: float) -> None:
         demand = lambda item: item[1].demand.measure(now)
         largest = sorted(self._meters.items(), key=demand, reverse=True)
         for name, meter in largest[:MOST_MEASURED]:
-            part = meter.share.part
+            part = meter.share.fraction
             self._measures.set("roadlift_allowance_part", part, name)
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -137,7 +137,7 @@
     def start(self) -> None:
         """Begin with the first send."""
         now = self._began_at
-        self._ingress.get_budget(self._service).note_request(now)
+        self._ingress.get_budget(self._service).count_request(now)
         self._timer = self._kernel.loop.call_later(
             max(0.0, self._deadline - now), self._on_deadline
         )
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -160,7 +160,7 @@
         ``asked_at``, by this process's clock.
         """
         self._note_era(position.era, "aggregator")
-        self.freshness.note_relay(RelayedState(position, asked_at - age))
+        self.freshness.record_relay(RelayedState(position, asked_at - age))
         if position > self._operator_target:
             self._operator_target = position
             self._grace_until = self._kernel.clock.now() + OPERATOR_GRACE
@@ -198,10 +198,10 @@
         self.directory.relay(news, self._kernel.clock.now())
         self._tell_directory(before)
 
-    def note_leaving(self, endpoint_id: str) -> bool:
+    def record_drain_notice(self, endpoint_id: str) -> bool:
         """Learn that an endpoint said that it leaves; tell if that is new."""
         before = self.directory.revision
-        is_new = self.directory.note_leaving(endpoint_id)
+        is_new = self.directory.record_drain_notice(endpoint_id)
         self._tell_directory(before)
         return is_new
 
@@ -266,8 +266,8 @@
         if self._era is not None and era > self._era:
             now = self._kernel.clock.now()
             self._settled_at = now + RETURN_GRACE
-            self.directory.note_return(now)
-            self.freshness.note_return(self._settled_at)
+            self.directory.record_store_return(now)
+            self.freshness.record_store_return(self._settled_at)
             self._measures.set("roadlift_store_era", era)
             log.event(
                 "store_came_back_older",
@@ -281,7 +281,7 @@
 
     def _note_return(self) -> None:
         """Act on the store's return: an old poll may hang on its cut path."""
-        self.directory.note_return(self._kernel.clock.now())
+        self.directory.record_store_return(self._kernel.clock.now())
         self._readers[0].restart()
 
     def _take_operator(self, rows: Rows, is_whole: bool) -> None:
@@ -290,7 +290,7 @@
         if rows.rows:
             self._note_operator_position(max(row.position for row in rows.rows))
         if rows.is_complete:
-            self.freshness.note_read(rows.time.asked_at)
+            self.freshness.record_read(rows.time.asked_at)
 
     def _take_rows(self, rows: Iterable[StoredRow]) -> None:
         """Put the operator's rows in force."""
@@ -334,7 +334,7 @@
         before = self.operator_position
         if position > before:
             self.operator_position = position
-            self.freshness.note_position(position)
+            self.freshness.record_position(position)
             _tell(self.on_operator, before)
 
     def _apply(self, configuration: Configuration, position: StorePosition) -> None:
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -154,8 +154,8 @@
         """Count a send on a basis."""
         self._basis = basis
         self._sent_at = self._clock.now()
-        self._limits.note_send(endpoint, basis.fence > 0)
-        self._standings.note_send(endpoint)
+        self._limits.record_send(endpoint, basis.fence > 0)
+        self._standings.record_send(endpoint)
 
     def may_send(self, endpoint: Endpoint) -> bool:
         """Tell whether the first byte of the call may still be written."""
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -162,7 +162,7 @@
 
     # What is sent and answered.
 
-    def note_send(self, endpoint: Endpoint, is_granted: bool) -> None:
+    def record_send(self, endpoint: Endpoint, is_granted: bool) -> None:
         """Count a send; one without a grant is told to the owner."""
         now = self._clock.now()
         rate = self._rates.get(endpoint.id)
@@ -218,7 +218,7 @@
         elif known is not None and not is_older:
             self._end(endpoint, Heard.OWNER, None)
 
-    def note_news(self, limits: Iterable[ToldLimit], asked_at: float) -> None:
+    def record_update(self, limits: Iterable[ToldLimit], asked_at: float) -> None:
         """Take all limits as an aggregator knows them."""
         told = {one.endpoint: one for one in limits}
         for endpoint, one in told.items():
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -41,7 +41,7 @@
             configuration=configuration,
             configuration_age=_round_age(judgement.age) if judgement else None,
             organisation=judgement.organisation if judgement else None,
-            share=round(use.part, 4) if use else None,
+            share=round(use.fraction, 4) if use else None,
             used=round(use.used) if use else None,
             demand=round(use.demand) if use else None,
             news_age=_round_age(use.news_age) if use else None,
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -72,11 +72,11 @@
         }
         return _list_told(found)
 
-    def note_member(self, address: str, loads: Iterable[ZoneLoad]) -> None:
+    def record_member(self, address: str, loads: Iterable[ZoneLoad]) -> None:
         """Take what an instance told."""
         self._members[address] = _Teller(list(loads), self._clock.now())
 
-    def note_other(self, address: str, loads: Iterable[ZoneLoad]) -> None:
+    def record_other(self, address: str, loads: Iterable[ZoneLoad]) -> None:
         """Take the sums that another aggregator told."""
         self._others[address] = _Teller(list(loads), self._clock.now())
 
@@ -97,11 +97,11 @@
         self._add(self._others, found)
         return _list_told(found)
 
-    def note_news(self, loads: Iterable[ZoneLoad]) -> None:
+    def record_update(self, loads: Iterable[ZoneLoad]) -> None:
         """Take the sums of all instances."""
         found: LoadsByZone = {}
         _sum_up(loads, found)
-        self.spread.note_news(found, self._clock.now())
+        self.spread.record_update(found, self._clock.now())
 
     def _add(self, tellers: dict[str, _Teller], found: LoadsByZone) -> None:
         """Add up what those tell that were heard of late."""
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -88,13 +88,13 @@
             self._tell_aggregator(now)
             return
         uses = self._allowances.list_own()
-        self._allowances.fleet.note_member(self._peer, self._kernel.stamp, uses, now)
-        self._services.note_member(self._peer, self._services.list_own())
+        self._allowances.fleet.record_member(self._peer, self._kernel.stamp, uses, now)
+        self._services.record_member(self._peer, self._services.list_own())
         self._tell_others(now)
         states = self._allowances.fleet.describe(self._peer, now)
-        self._allowances.note_news(states, now)
-        self._services.note_news(self._services.list_all())
-        self._limits.note_news(self._list_limits(now), now)
+        self._allowances.record_update(states, now)
+        self._services.record_update(self._services.list_all())
+        self._limits.record_update(self._list_limits(now), now)
 
     def _tell_aggregator(self, now: float) -> None:
         address = self._subscription.source
@@ -119,7 +119,7 @@
         owners = {self._leases.find_owner(zone) for zone in self._leases.list_zones()}
         others = {owner or "" for owner in owners} - {self._peer}
         fleet = self._allowances.fleet
-        fleet.keep_others(others, now)
+        fleet.update_others(others, now)
         totals = InstanceTotals(
             self._peer,
             self._kernel.stamp,
@@ -156,8 +156,8 @@
             return
         now = self._kernel.clock.now()
         uses = [read_fields(Use, fields) for fields in message.organisations]
-        fleet.note_member(address, message.process, uses, now)
-        self._services.note_member(address, _read_loads(message.services))
+        fleet.record_member(address, message.process, uses, now)
+        self._services.record_member(address, _read_loads(message.services))
         states = [list(one) for one in fleet.describe(address, now)]
         services = [list(load) for load in self._services.list_all()]
         answer = SharedStates(self._peer, states, services, message.at)
@@ -170,17 +170,17 @@
     def _take_totals(self, sender: str, message: InstanceTotals) -> None:
         now = self._kernel.clock.now()
         uses = [read_fields(Use, fields) for fields in message.organisations]
-        self._allowances.fleet.note_other(
+        self._allowances.fleet.record_other(
             message.address, message.process, message.members, uses, now
         )
-        self._services.note_other(message.address, _read_loads(message.services))
+        self._services.record_other(message.address, _read_loads(message.services))
 
     def _take_states(self, sender: str, message: SharedStates) -> None:
         if message.address != self._subscription.source:
             return
         states = [read_fields(FleetState, one) for one in message.organisations]
-        self._allowances.note_news(states, message.asked_at)
-        self._services.note_news(_read_loads(message.services))
+        self._allowances.record_update(states, message.asked_at)
+        self._services.record_update(_read_loads(message.services))
 
     def _take_limits(self, sender: str, message: LimitNews) -> None:
         limits = [read_fields(ToldLimit, one) for one in message.limits]
@@ -188,7 +188,7 @@
             now = self._kernel.clock.now()
             self._others[message.address] = _ToldLimits(limits, now)
         elif message.address == self._subscription.source:
-            self._limits.note_news(limits, message.asked_at)
+            self._limits.record_update(limits, message.asked_at)
 
 
 def _read_loads(fields: list) -> list[ZoneLoad]:
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -11,7 +11,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
-from roadlift.decisions.standing import Standing
+from roadlift.decisions.availability import EndpointAvailability
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
 from roadlift.instance.measures import Measures
@@ -49,7 +49,7 @@
         self._subscription = kernel.get(Subscription)
         self._transport = kernel.get(Transport)
         self._measures = kernel.get(Measures)
-        self._known: dict[str, Standing] = {}
+        self._known: dict[str, EndpointAvailability] = {}
         self._told_at: dict[str, float] = {}
         self._logged_at: dict[str, float] = {}
         self._faulty: set[tuple[str, str]] = set()
@@ -69,17 +69,17 @@
         """Return the endpoints that do not rest from this instance's calls."""
         if not self._known:
             return endpoints
-        return [one for one in endpoints if not self.measure_rest(one.id)]
+        return [one for one in endpoints if not self.compute_backoff(one.id)]
 
-    def measure_rest(self, endpoint: str) -> float:
+    def compute_backoff(self, endpoint: str) -> float:
         """Return the seconds until a call may be tried at an endpoint."""
         known = self._known.get(endpoint)
-        return known.measure_rest(self._clock.now()) if known else 0.0
+        return known.compute_backoff(self._clock.now()) if known else 0.0
 
     def wants_rest(self, endpoint: str) -> bool:
         """Tell whether an endpoint's rest goes on."""
         known = self._known.get(endpoint)
-        return known is not None and self._clock.now() < known.rest_until
+        return known is not None and self._clock.now() < known.backoff_until
 
     def is_last_resort(self, endpoint: str) -> bool:
         """Tell whether a leaving endpoint takes calls that no other can."""
@@ -101,11 +101,11 @@
 
     # What is sent and answered.
 
-    def note_send(self, endpoint: Endpoint) -> None:
+    def record_send(self, endpoint: Endpoint) -> None:
         """Count a call that is sent."""
         known = self._known.get(endpoint.id)
         if known is not None:
-            known.note_send(self._clock.now())
+            known.record_send(self._clock.now())
 
     def note_head(
         self,
@@ -133,14 +133,14 @@
 
     def _note_taken(self, endpoint: Endpoint, age: float) -> None:
         if endpoint.id in self._known:
-            self._known[endpoint.id].note_taken(self._clock.now() - age)
+            self._known[endpoint.id].record_accepted(self._clock.now() - age)
 
-    def _find(self, endpoint: str) -> Standing:
-        return self._known.setdefault(endpoint, Standing())
+    def _find(self, endpoint: str) -> EndpointAvailability:
+        return self._known.setdefault(endpoint, EndpointAvailability())
 
     def _note_leaving(self, endpoint: Endpoint, status: int, age: float | None) -> None:
         now = self._clock.now()
-        if self._find(endpoint.id).note_leaving(now):
+        if self._find(endpoint.id).record_drain_notice(now):
             log.event(
                 "endpoint_leaving",
                 endpoint=endpoint.id,
@@ -149,7 +149,7 @@
                 status=status,
                 age=_round(age),
             )
-            self._follower.note_leaving(endpoint.id)
+            self._follower.record_drain_notice(endpoint.id)
             self._measure(endpoint.service)
         if now - self._told_at.get(endpoint.id, float("-inf")) >= TELL_GAP:
             self._told_at[endpoint.id] = now
@@ -160,9 +160,9 @@
     ) -> None:
         now = self._clock.now()
         standing = self._find(endpoint.id)
-        if not standing.note_rest(seconds, self._rng.random(), now):
+        if not standing.record_backoff(seconds, self._rng.random(), now):
             return
-        kept = standing.rest_until - now
+        kept = standing.backoff_until - now
         self._loop.call_later(kept, lambda: self._end_rest(endpoint))
         self._measure(endpoint.service)
         if now - self._logged_at.get(endpoint.id, float("-inf")) < LOG_GAP:
@@ -182,7 +182,7 @@
         """Tell that a rest is over, if it was not asked for again."""
         known = self._known.get(endpoint.id)
         now = self._clock.now()
-        if known is None or now < known.rest_until:
+        if known is None or now < known.backoff_until:
             return
         self._measure(endpoint.service)
         if self._logged_at.pop(endpoint.id, None) is not None:
@@ -202,7 +202,10 @@
 
     def _take_leaving(self, sender: str, message: LeavingNews) -> None:
         """Mark the endpoint; the list's subscribers hear of that."""
-        if self._follower.note_leaving(message.endpoint) and not message.is_passed_on:
+        if (
+            self._follower.record_drain_notice(message.endpoint)
+            and not message.is_passed_on
+        ):
             self._tell(message)
 
     # What is told of it.
@@ -215,8 +218,8 @@
             for one in self._follower.directory.list_service(service)
             if one.id in self._known
         ]
-        leaving = sum(one.left_at is not None for one in found)
-        resting = sum(now < one.rest_until for one in found)
+        leaving = sum(one.drain_notice_at is not None for one in found)
+        resting = sum(now < one.backoff_until for one in found)
         self._measures.set("roadlift_leaving_endpoints", leaving, service)
         self._measures.set("roadlift_resting_endpoints", resting, service)
 
@@ -251,10 +254,10 @@
         for endpoint in self._follower.directory.list_all():
             there.add(endpoint.id)
             if endpoint.is_leaving:
-                self._find(endpoint.id).note_leaving(now)
+                self._find(endpoint.id).record_drain_notice(now)
         self._faulty = {one for one in self._faulty if one[0] in there}
         for endpoint in set(self._known) - there:
-            if now >= self._known[endpoint].rest_until:
+            if now >= self._known[endpoint].backoff_until:
                 del self._known[endpoint]
         for times in (self._told_at, self._logged_at):
             for endpoint in set(times) - there:
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -123,7 +123,7 @@
 
     # The calls of subscribers, where this process is an aggregator.
 
-    def note_member(self, heartbeat: Heartbeat) -> None:
+    def record_member(self, heartbeat: Heartbeat) -> None:
         """Take what a subscriber tells of its calls."""
         member = heartbeat.address
         if heartbeat.is_whole:
--- a/roadlift/organisations/fleet.py
+++ b/roadlift/organisations/fleet.py
@@ -8,13 +8,18 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from roadlift.organisations.shares import FREE_FRACTION, MAX_DEBT, STATE_MAX_AGE, Limits
+from roadlift.organisations.shares import (
+    FREE_FRACTION,
+    MAX_DEBT,
+    STATE_MAX_AGE,
+    AllowanceTolerance,
+)
 from roadlift.serving.routes import Allowance
 
 # Demand a second below which a usage is no longer reported: a call that counts
 # as 1 is reported for 8 s. With 1.0, calls that arrived less than once a
 # second at each instance were never counted.
-LEAST_DEMAND = 0.01
+MIN_DEMAND = 0.01
 
 
 class Use(NamedTuple):
@@ -31,14 +36,14 @@
 class FleetState(NamedTuple):
     """What an aggregator reports to an instance about an organisation.
 
-    It speaks for a ``part`` of the allowance, of which ``level`` is left, with
-    a ``demand`` a second. ``counted`` is what it has counted of the instance's
-    own usage.
+    It speaks for a ``fraction`` of the allowance, of which ``level`` is left,
+    with a ``demand`` a second. ``counted`` is what it has counted of the
+    instance's own usage.
     """
 
     name: str
     is_free: bool
-    part: float
+    fraction: float
     demand: float
     level: float
     counted: float
@@ -108,8 +113,8 @@
 class FleetUse:
     """The usage of all organisations, of members and of other aggregators."""
 
-    def __init__(self, limits: Limits) -> None:
-        self._limits = limits
+    def __init__(self, tolerance: AllowanceTolerance) -> None:
+        self._tolerance = tolerance
         self._allowances: Mapping[str, Allowance] = {}
         self._members: dict[str, _Reporter] = {}
         self._others: dict[str, _Reporter] = {}
@@ -127,14 +132,14 @@
 
     # Reports.
 
-    def note_member(
+    def record_member(
         self, address: str, process: int, uses: Iterable[Use], now: float
     ) -> None:
         """Apply the report of a process at an address on its own usage."""
         for use in self._apply_report(self._members, address, process, uses, now):
             self._count(use, now)
 
-    def note_other(
+    def record_other(
         self,
         address: str,
         process: int,
@@ -178,7 +183,7 @@
         """Drop an instance that now reports to another aggregator."""
         self._members.pop(address, None)
 
-    def keep_others(self, addresses: Iterable[str], now: float) -> None:
+    def update_others(self, addresses: Iterable[str], now: float) -> None:
         """Set the other aggregators, and check which of them report."""
         expected = set(addresses)
         for address in set(self._others) - expected:
@@ -195,7 +200,7 @@
         for address, member in list(self._members.items()):
             for use in member.extrapolate(now):
                 self._count(use, now)
-            if now - member.reported_at > self._limits.window:
+            if now - member.reported_at > self._tolerance.window:
                 del self._members[address]
 
     # Results.
@@ -242,7 +247,7 @@
         if bucket is None:
             bucket = self._buckets[name] = _TokenBucket(now)
         fraction = self._compute_fraction()
-        burst = allowance.burst + self._limits.extra_burst
+        burst = allowance.burst + self._tolerance.extra_burst
         bucket.refill(allowance.rate * fraction, burst * fraction, now)
         return bucket
 
@@ -253,7 +258,7 @@
         the number of instances at the time when all did.
         """
         if self._is_complete:
-            return self._limits.factor
+            return self._tolerance.factor
         if not self._instances:
             return 0.0
         return min(1.0, len(self._members) / self._instances)
--- a/roadlift/organisations/freshness.py
+++ b/roadlift/organisations/freshness.py
@@ -34,7 +34,7 @@
         self._pending: RelayedState | None = None
         self.known_at = float("-inf")
 
-    def note_return(self, settled_at: float) -> None:
+    def record_store_return(self, settled_at: float) -> None:
         """Record that the store came back older.
 
         Rows that it lost are written again by a certain time. A read before
@@ -42,12 +42,12 @@
         """
         self._settled_at = max(self._settled_at, settled_at)
 
-    def note_read(self, asked_at: float) -> None:
+    def record_read(self, asked_at: float) -> None:
         """Record a read of the whole store, or of all that changed in it."""
         if asked_at >= self._settled_at:
             self.known_at = max(self.known_at, asked_at)
 
-    def note_relay(self, state: RelayedState) -> None:
+    def record_relay(self, state: RelayedState) -> None:
         """Record how far another instance knows the rows.
 
         It counts once all of those rows are known here too.
@@ -57,7 +57,7 @@
         else:
             self._pending = state
 
-    def note_position(self, position: StorePosition) -> None:
+    def record_position(self, position: StorePosition) -> None:
         """Record that all rows up to a position are known here."""
         self._position = max(self._position, position)
         pending = self._pending
--- a/roadlift/organisations/shares.py
+++ b/roadlift/organisations/shares.py
@@ -47,7 +47,7 @@
 MAX_STARTS = 128
 
 
-class Limits(NamedTuple):
+class AllowanceTolerance(NamedTuple):
     """What a deployment allows beyond rates and bursts.
 
     ``over`` is the fraction by which they may be exceeded, ``slack`` an
@@ -81,13 +81,13 @@
 class Share(NamedTuple):
     """What an instance may use of an organisation's allowance from now on.
 
-    ``part`` is the instance's fraction of the rate and the burst; ``level`` is
+    ``fraction`` is the instance's part of the rate and the burst; ``level`` is
     what is left to it, below 0 if too much was used. While ``is_free``,
     neither applies.
     """
 
     is_free: bool
-    part: float
+    fraction: float
     level: float
 
 
@@ -97,9 +97,11 @@
     ``spent`` only grows, except for what is released.
     """
 
-    def __init__(self, allowance: Allowance, limits: Limits, now: float) -> None:
-        self._limits = limits
-        self._level = limits.credit
+    def __init__(
+        self, allowance: Allowance, tolerance: AllowanceTolerance, now: float
+    ) -> None:
+        self._tolerance = tolerance
+        self._level = tolerance.credit
         self._refilled_at = now
         self.allowance = allowance
         self.share = Share(False, 0.0, 0.0)
@@ -116,8 +118,8 @@
         """Keep to the last share while there are no updates."""
         if self.share.is_free:
             self._refill(now)
-            part = self.share.part * OFFLINE_FRACTION
-            self.share = self.share._replace(is_free=False, part=part)
+            fraction = self.share.fraction * OFFLINE_FRACTION
+            self.share = self.share._replace(is_free=False, fraction=fraction)
 
     def take(self, amount: float, now: float) -> float:
         """Consume an amount and return 0, or return the seconds to wait.
@@ -131,7 +133,7 @@
             self.spend(amount)
             return 0.0
         rate = self._compute_share(self.allowance.rate)
-        max_wait = self._limits.window
+        max_wait = self._tolerance.window
         return min(max_wait, -self._level / rate) if rate else max_wait
 
     def spend(self, amount: float) -> None:
@@ -141,11 +143,11 @@
 
     def _compute_share(self, total: float) -> float:
         """Return this instance's share of a rate or burst."""
-        return total * self.share.part
+        return total * self.share.fraction
 
     def _refill(self, now: float) -> None:
         """Refill up to the share of the burst."""
         gained = self._compute_share(self.allowance.rate) * (now - self._refilled_at)
-        burst = self._compute_share(self.allowance.burst + self._limits.extra_burst)
+        burst = self._compute_share(self.allowance.burst + self._tolerance.extra_burst)
         self._level = max(self._level, min(burst, self._level + gained))
         self._refilled_at = now
--- a/roadlift/organisations/sharing.py
+++ b/roadlift/organisations/sharing.py
@@ -26,9 +26,9 @@
 
     def update(self, name: str, meter: Meter, now: float) -> None:
         """Set an equal share if the number of instances has changed."""
-        part = 1.0 / max(1, self._count_instances())
-        if meter.share.part != part:
-            meter.set_share(Share(False, part, 0.0), now)
+        fraction = 1.0 / max(1, self._count_instances())
+        if meter.share.fraction != fraction:
+            meter.set_share(Share(False, fraction, 0.0), now)
 
 
 class DemandSharing:
@@ -40,11 +40,11 @@
         self._known_at = float("-inf")
 
     @property
-    def heard_at(self) -> float:
+    def known_at(self) -> float:
         """Return as of when the states are known, in local seconds."""
         return self._known_at
 
-    def note_news(self, states: Iterable[FleetState], asked_at: float) -> None:
+    def record_update(self, states: Iterable[FleetState], asked_at: float) -> None:
         """Apply the answer to a report that was sent at ``asked_at``."""
         if asked_at < self._known_at:
             return
@@ -72,4 +72,6 @@
     local = meter.demand.measure(now)
     weight = local / max(local, state.demand) if local else 0.0
     unreported = meter.spent - state.counted
-    return Share(state.is_free, weight * state.part, weight * state.level - unreported)
+    return Share(
+        state.is_free, weight * state.fraction, weight * state.level - unreported
+    )
--- a/roadlift/retries/window.py
+++ b/roadlift/retries/window.py
@@ -32,7 +32,7 @@
         self._requests = 0
         self._retries = 0
 
-    def note_request(self, now: float) -> None:
+    def count_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._get_bucket(now).requests += 1
         self._requests += 1
--- a/roadlift/serving/directory.py
+++ b/roadlift/serving/directory.py
@@ -108,7 +108,7 @@
         """Return the entries that have vanished and are kept for a grace."""
         return set(self._missing)
 
-    def note_return(self, now: float) -> None:
+    def record_store_return(self, now: float) -> None:
         """Learn that the list can be read again after an outage."""
         self._grace_until = now + RETURN_GRACE
 
@@ -140,7 +140,7 @@
         for endpoint_id in removed & set(self._endpoints):
             self._drop(endpoint_id)
 
-    def note_leaving(self, endpoint_id: str) -> bool:
+    def record_drain_notice(self, endpoint_id: str) -> bool:
         """Learn that a start of an endpoint leaves, for good.
 
         Returns whether that is new.
--- a/tests/steps/allowance_steps.py
+++ b/tests/steps/allowance_steps.py
@@ -5,7 +5,7 @@
 from benchmarks.allowances import TROUBLES, play
 from roadlift.instance.allowances import Allowances
 from roadlift.organisations.fleet import FleetUse, Use
-from roadlift.organisations.shares import Limits, Meter
+from roadlift.organisations.shares import AllowanceTolerance, Meter
 from roadlift.organisations.sharing import DemandSharing
 from roadlift.serving.routes import Allowance
 from standins.installation import Reply
@@ -57,7 +57,7 @@
 @given("an instance that hears {heard} of an allowance of {rate:g} a second")
 def step_meter(context, heard, rate):
     """Make its meter, and what it hears."""
-    limits = Limits(0.1, 1280.0, 8.0)
+    limits = AllowanceTolerance(0.1, 1280.0, 8.0)
     allowance = Allowance(rate, rate)
     context.meter = Meter(allowance, limits, 0.0)
     context.sharing = DemandSharing()
@@ -80,9 +80,9 @@
 
 def _tell(context, now):
     use = Use("red", context.meter.spent, context.meter.demand.measure(now))
-    context.fleet.note_member("own", 1, [use], now)
-    context.fleet.keep_others([], now)
-    context.sharing.note_news(context.fleet.describe("own", now), now)
+    context.fleet.record_member("own", 1, [use], now)
+    context.fleet.update_others([], now)
+    context.sharing.record_update(context.fleet.describe("own", now), now)
 
 
 @then("{least:d} to {most:d} are let in")
--- a/tests/steps/position_steps.py
+++ b/tests/steps/position_steps.py
@@ -84,9 +84,9 @@
 def step_fresh(context, at, read):
     """Read them once before, and once at a time."""
     context.freshness = Freshness()
-    context.freshness.note_read(10.0)
-    context.freshness.note_return(at + RETURN_GRACE)
-    context.freshness.note_read(read)
+    context.freshness.record_read(10.0)
+    context.freshness.record_store_return(at + RETURN_GRACE)
+    context.freshness.record_read(read)
 
 
 @then("all rows are known as of {known:g}")
--- a/tests/steps/service_steps.py
+++ b/tests/steps/service_steps.py
@@ -125,7 +125,7 @@
 def step_come(context, count):
     """Check each call for refusal."""
     load = context.load._replace(asked=float(count))
-    context.spread.note_news({SERVICE: {"z1": load}}, 0.0)
+    context.spread.record_update({SERVICE: {"z1": load}}, 0.0)
     context.fraction = compute_admitted_fraction(
         load, context.endpoints[0].slots, OBJECTIVE
     )
--- a/tests/steps/serving_steps.py
+++ b/tests/steps/serving_steps.py
@@ -76,7 +76,7 @@
         at, _, did = step.partition(" ")
         now = float(at)
         if did == "returns":
-            directory.note_return(now)
+            directory.record_store_return(now)
         elif did == "expires":
             directory.expire(now)
         elif did == "lists b":
@@ -107,7 +107,7 @@
     """Count requests."""
     context.instances = instances
     for _ in range(requests):
-        context.budget.note_request(0.0)
+        context.budget.count_request(0.0)
 
 
 @then("{retries:d} retries are allowed at {at:g}")
--- a/tests/steps/standing_steps.py
+++ b/tests/steps/standing_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from roadlift.decisions.standing import Standing
+from roadlift.decisions.availability import EndpointAvailability
 from roadlift.instance.follower import Follower
 from tests.steps.limit_steps import (
     bring_trouble,
@@ -242,19 +242,19 @@
     """Play one event of a history: a time, what, and a number."""
     at, what, *more = event.split()
     if what == "leaves":
-        standing.note_leaving(float(at))
+        standing.record_drain_notice(float(at))
     elif what == "rest":
-        standing.note_rest(float(more[0]), 0.5, float(at))
+        standing.record_backoff(float(more[0]), 0.5, float(at))
     elif what == "sent":
-        standing.note_send(float(at))
+        standing.record_send(float(at))
     else:
-        standing.note_taken(float(more[1]))
+        standing.record_accepted(float(more[1]))
 
 
 @when('an endpoint\'s history is "{history}", its drain {drain:g} seconds')
 def step_history(context, history, drain):
     """Learn what an endpoint said, and what was sent to it."""
-    context.standing, context.drain = Standing(), drain
+    context.standing, context.drain = EndpointAvailability(), drain
     for event in [] if history == "nothing" else history.split(", "):
         _play(context.standing, event)
 
@@ -266,7 +266,7 @@
 def step_standing(context, at, wait, resort, may):
     """Ask what it is worth."""
     standing = context.standing
-    found = standing.measure_rest(at)
+    found = standing.compute_backoff(at)
     assert abs(found - wait) < 1e-6, found
     assert standing.is_last_resort(context.drain, at) == (resort == "is")
     assert standing.may_send(context.drain, at) == (may == "may")
