--- a/roadlift/daemon/rests.py
+++ b/roadlift/daemon/rests.py
@@ -33,7 +33,7 @@
     def measure(self, endpoint: str) -> float:
         """Return the seconds until a call may be tried at an endpoint."""
         known = self._known.get(endpoint)
-        return known.compute_backoff(self._clock.now()) if known else 0.0
+        return known.measure_backoff(self._clock.now()) if known else 0.0
 
     def is_awake(self, endpoint: str) -> bool:
         """Tell whether an endpoint's rest is over."""
--- a/roadlift/decisions/availability.py
+++ b/roadlift/decisions/availability.py
@@ -72,7 +72,7 @@
             self._trials.pop(0)
             self._max_trials += 1
 
-    def compute_backoff(self, now: float) -> float:
+    def measure_backoff(self, now: float) -> float:
         """Return the seconds until a call may be tried there."""
         if now < self.backoff_until:
             return self.backoff_until - now
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -239,7 +239,7 @@
             for one in self._follower.directory.list_service(service)
             if one.id not in excluded
             and self._standings.is_last_resort(one.id)
-            and not self._standings.compute_backoff(one.id)
+            and not self._standings.measure_backoff(one.id)
         ]
 
     def find_rest(self, service: str, model: Model | None) -> Rest | None:
@@ -249,7 +249,7 @@
         the service rest; None where there are none.
         """
         ready = self._follower.directory.list_ready(service)
-        rests = [Rest(one, self._standings.compute_backoff(one.id)) for one in ready]
+        rests = [Rest(one, self._standings.measure_backoff(one.id)) for one in ready]
         resting = [rest for rest in rests if rest.seconds > 0.0]
         if len(resting) < len(ready):
             least = self._follower.find_version(model) if model is not None else 0
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -69,12 +69,12 @@
         """Return the endpoints that do not rest from this instance's calls."""
         if not self._known:
             return endpoints
-        return [one for one in endpoints if not self.compute_backoff(one.id)]
+        return [one for one in endpoints if not self.measure_backoff(one.id)]
 
-    def compute_backoff(self, endpoint: str) -> float:
+    def measure_backoff(self, endpoint: str) -> float:
         """Return the seconds until a call may be tried at an endpoint."""
         known = self._known.get(endpoint)
-        return known.compute_backoff(self._clock.now()) if known else 0.0
+        return known.measure_backoff(self._clock.now()) if known else 0.0
 
     def wants_rest(self, endpoint: str) -> bool:
         """Tell whether an endpoint's rest goes on."""
--- a/tests/steps/standing_steps.py
+++ b/tests/steps/standing_steps.py
@@ -266,7 +266,7 @@
 def step_standing(context, at, wait, resort, may):
     """Ask what it is worth."""
     standing = context.standing
-    found = standing.compute_backoff(at)
+    found = standing.measure_backoff(at)
     assert abs(found - wait) < 1e-6, found
     assert standing.is_last_resort(context.drain, at) == (resort == "is")
     assert standing.may_send(context.drain, at) == (may == "may")
