--- a/tests/decisions/services.feature
+++ b/tests/decisions/services.feature
@@ -47,11 +47,11 @@
   Scenario Outline: A refused caller comes back when there may be free capacity
     Given <busy> calls in progress at 4 slots, of which 50 a second are served
     When 200 calls a second come
-    Then <refused> of them are refused, to come back in <least> to <most> seconds
+    Then <refused> of them are refused, to come back in <minimum> to <maximum> seconds
 
     Examples:
-      | busy | refused | least | most |
-      | 3    | none    | 0     | 0    |
-      | 8    | none    | 0     | 0    |
-      | 14   | most    | 0.2   | 0.4  |
-      | 40   | all     | 0.72  | 1.44 |
+      | busy | refused | minimum | maximum |
+      | 3    | none    | 0       | 0       |
+      | 8    | none    | 0       | 0       |
+      | 14   | most    | 0.2     | 0.4     |
+      | 40   | all     | 0.72    | 1.44    |
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -182,28 +182,28 @@
     assert _replay(context.history, at) == expected
 
 
-def _draw_engine(draw, rank):
+def _make_random_engine(rng, rank):
     endpoint = Endpoint(f"e{rank}", "s", Address("127.0.0.1", 1), f"z{rank % 3}", 64)
     return Engine(
         endpoint,
-        draw.choice((0, draw.randrange(60000))),
-        draw.randrange(-4, 10),
-        draw.choice(list(AdapterSource)),
+        rng.choice((0, rng.randrange(60000))),
+        rng.randrange(-4, 10),
+        rng.choice(list(AdapterSource)),
         rank,
-        draw.random() < 0.7,
+        rng.random() < 0.7,
     )
 
 
 @when("{count:d} random engines and calls are placed with seed {seed:d}")
-def step_draws(context, count, seed):
+def step_random_calls(context, count, seed):
     """Place calls at random engines."""
-    draw = random.Random(seed)
-    context.draws = []
+    rng = random.Random(seed)
+    context.cases = []
     for _ in range(count):
-        engines = [_draw_engine(draw, rank) for rank in range(draw.randrange(8))]
-        requirements = Requirements(draw.randrange(40000), f"z{draw.randrange(3)}")
+        engines = [_make_random_engine(rng, rank) for rank in range(rng.randrange(8))]
+        requirements = Requirements(rng.randrange(40000), f"z{rng.randrange(3)}")
         option = choose_engine(requirements, engines, ReadingTimes(), LoadWaits(), 0.0)
-        context.draws.append((requirements, engines, option))
+        context.cases.append((requirements, engines, option))
 
 
 def _is_possible(engine):
@@ -213,14 +213,14 @@
 @then("each goes to an engine that holds its adapter or may load it")
 def step_possible(context):
     """Check that each choice can be carried out."""
-    chosen = [option.engine for _, _, option in context.draws if option]
+    chosen = [option.engine for _, _, option in context.cases if option]
     assert chosen and all(_is_possible(engine) for engine in chosen)
 
 
 @then("each is placed if there is any such engine")
 def step_all_placed(context):
     """Check that no call is refused that an engine could run."""
-    for _, engines, option in context.draws:
+    for _, engines, option in context.cases:
         assert (option is not None) == any(map(_is_possible, engines)), engines
 
 
@@ -236,7 +236,7 @@
 @then("no engine is chosen if another of its zone is better in every respect")
 def step_best(context):
     """Check that a better engine does not cost more."""
-    for requirements, engines, option in context.draws:
+    for requirements, engines, option in context.cases:
         for other in engines:
             if option is None or not _is_possible(other):
                 continue
@@ -252,19 +252,19 @@
 )
 def step_random_requests(context, slots, seed):
     """Drive the record of an engine that carries out each order in 10 ms."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     book = EngineBook(slots, ("base",), LoadTimes(), BaseLoads(0.0))
     book.take_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
-    context.slots, context.waits, context.most = slots, [], 0
+    context.slots, context.waits, context.max_copies = slots, [], 0
     wanted, ends = {}, {}
     for step in range(3000):
         now = step * 0.01
         _end_calls(book, ends, now)
-        if draw.random() < 0.15:
-            model = Model("base", f"a{draw.randrange(40)}")
-            urgency = Urgency(draw.randrange(2), draw.uniform(-0.2, 0.6), draw.random())
+        if rng.random() < 0.15:
+            model = Model("base", f"a{rng.randrange(40)}")
+            urgency = Urgency(rng.randrange(2), rng.uniform(-0.2, 0.6), rng.random())
             if book.holds(model, 0):
-                _begin_call(book, ends, model, now + draw.expovariate(1.0), now)
+                _begin_call(book, ends, model, now + rng.expovariate(1.0), now)
             elif book.want(model, 0, urgency, now):
                 wanted.setdefault(model, now)
         for model in list(wanted):
@@ -275,12 +275,12 @@
             book.note_result(plan, OrderResult.DONE, now)
             if plan.action is Action.LOAD and plan.model in wanted:
                 context.waits.append(now - wanted.pop(plan.model))
-                _begin_call(book, ends, plan.model, now + draw.expovariate(1.0), now)
+                _begin_call(book, ends, plan.model, now + rng.expovariate(1.0), now)
         for model, _ in book.denied:
             if model in wanted:
                 context.waits.append(now - wanted.pop(model))
         book.denied.clear()
-        context.most = max(context.most, len(book.copies))
+        context.max_copies = max(context.max_copies, len(book.copies))
     context.open = [3000 * 0.01 - since for since in wanted.values()]
 
 
@@ -309,7 +309,7 @@
 @then("no more adapters were at the engine than slots")
 def step_in_slots(context):
     """Check that no order exceeded the engine's slots."""
-    assert context.most <= context.slots, context.most
+    assert context.max_copies <= context.slots, context.max_copies
 
 
 @given("an owner reports that {loads:d} loads of {seconds:g} seconds are ahead at e")
--- a/tests/steps/limit_decision_steps.py
+++ b/tests/steps/limit_decision_steps.py
@@ -39,16 +39,16 @@
     return sum(one.used for one in context.outcomes) / len(context.outcomes)
 
 
-@then("at least {least:g} of the limit is admitted")
-def step_used(context, least):
+@then("at least {minimum:g} of the limit is admitted")
+def step_used(context, minimum):
     """Check the mean over the limits."""
-    assert _measure_used(context) >= least, context.outcomes
+    assert _measure_used(context) >= minimum, context.outcomes
 
 
-@then("less than {most:g} of the limit is admitted")
-def step_unused(context, most):
+@then("less than {maximum:g} of the limit is admitted")
+def step_unused(context, maximum):
     """Check the mean over the limits."""
-    assert _measure_used(context) < most, context.outcomes
+    assert _measure_used(context) < maximum, context.outcomes
 
 
 @given("an owner of an endpoint that accepts {limit:g} calls a second")
@@ -95,7 +95,7 @@
         ledger.apply_claim(Claim("b", None, True, ledger.basis, count), now + 10.0)
 
 
-@then("no send is available for {least:g} second both times")
-def step_delays(context, least):
+@then("no send is available for {minimum:g} second both times")
+def step_delays(context, minimum):
     """Check the delays."""
-    assert all(delay >= least for delay in context.delays), context.delays
+    assert all(delay >= minimum for delay in context.delays), context.delays
--- a/tests/steps/service_steps.py
+++ b/tests/steps/service_steps.py
@@ -90,8 +90,8 @@
     for _ in range(count):
         zones = [f"z{number}" for number in range(rng.randint(1, 5))]
         slots = {zone: float(rng.randint(1, 40)) for zone in zones}
-        most = 2 * max(slots.values())
-        busy = {zone: rng.random() * most for zone in zones}
+        maximum = 2 * max(slots.values())
+        busy = {zone: rng.random() * maximum for zone in zones}
         placed = dict.fromkeys(zones, 0.0)
         for zone in zones:
             fractions = compute_zone_fractions(zone, busy, slots)
@@ -135,11 +135,13 @@
     ]
 
 
-@then("{refused} of them are refused, to come back in {least:g} to {most:g} seconds")
-def step_refused(context, refused, least, most):
+@then(
+    "{refused} of them are refused, to come back in {minimum:g} to {maximum:g} seconds"
+)
+def step_refused(context, refused, minimum, maximum):
     """Check the number of refusals and the delays."""
     waits = [wait for wait in context.waits if wait is not None]
     fraction = len(waits) / len(context.waits)
     bounds = {"none": (0, 0), "most": (0.6, 0.99), "all": (1, 1)}[refused]
     assert bounds[0] <= fraction <= bounds[1], fraction
-    assert all(least <= wait <= most for wait in waits), (min(waits), max(waits))
+    assert all(minimum <= wait <= maximum for wait in waits), (min(waits), max(waits))
--- a/tests/steps/sign_steps.py
+++ b/tests/steps/sign_steps.py
@@ -35,8 +35,8 @@
                 other = CrashEvidence(_name(f"o{index}"), "e9", STRONG, 0.0)
                 context.crashes.merge([other], now)
         elif words[-1] != "passes":
-            sign = CrashEvidence(_name(words[1]), words[3], _WEIGHTS[words[2]], 0.0)
-            context.crashes.merge([sign], now)
+            item = CrashEvidence(_name(words[1]), words[3], _WEIGHTS[words[2]], 0.0)
+            context.crashes.merge([item], now)
 
 
 @then("at {now:g} the call a is refused for {seconds:g} seconds")
@@ -54,16 +54,16 @@
         rng = random.Random(seed)
         sets = [Crashes() for _ in range(instances)]
         for _ in range(rng.randrange(1, 30)):
-            sign = CrashEvidence(
+            item = CrashEvidence(
                 _name(rng.choice("abcd")),
                 f"e{rng.randrange(4)}",
                 rng.choice([STRONG, WEAK]),
                 rng.random(),
             )
             chosen = rng.choice(sets)
-            chosen.merge([sign], 10.0)
+            chosen.merge([item], 10.0)
             if rng.random() < 0.1:
-                chosen.clear(sign.identity)
+                chosen.clear(item.identity)
         context.sets.append((rng, sets))
 
 
@@ -80,7 +80,7 @@
 
 @then("all instances refuse the same calls and have the same checksum")
 def step_agree(context):
-    """Compare the instances of each draw."""
+    """Compare the instances of each set."""
     for _, sets in context.sets:
         views = {tuple(one.is_refused(_name(text)) for text in "abcd") for one in sets}
         sums = {one.compute_checksum() for one in sets}
@@ -127,7 +127,7 @@
     assert is_same == (same == "the same")
 
 
-class _Order:
+class _RandomOrder:
     """One random order of calls, crashes and evidence at instances."""
 
     # Seconds from a run's start until its crash is known at its instance.
@@ -165,15 +165,15 @@
         engine = self._rng.randrange(self.ENGINES)
         self._starts[engine] += 1
         run = f"e{engine}#{self._starts[engine]}"
-        signs = [CrashEvidence(_name(name), run, STRONG, 0.0)]
+        evidence = [CrashEvidence(_name(name), run, STRONG, 0.0)]
         for _ in range(self.OTHER_CALLS):
             other = f"other{self._rng.randrange(40)}"
-            signs.append(CrashEvidence(_name(other), run, WEAK, 0.0))
+            evidence.append(CrashEvidence(_name(other), run, WEAK, 0.0))
         known = now + self.DETECTION_TIME
         arrivals = [known + self._rng.random() for _ in self.ledgers]
         arrivals[self.ledgers.index(ledger)] = known
         self._arriving += zip(
-            arrivals, self.ledgers, [signs] * len(arrivals), strict=True
+            arrivals, self.ledgers, [evidence] * len(arrivals), strict=True
         )
         crashes = len(self.runs[name])
         if crashes == 2:
@@ -181,13 +181,13 @@
 
     def _deliver(self, now):
         """Merge evidence that has arrived, and keep who is refused for it."""
-        for at, ledger, signs in [one for one in self._arriving if one[0] <= now]:
-            ledger.merge(signs, at)
-            for sign in signs:
-                seconds = ledger.compute_refusal(sign.identity, at)
-                known = self.refused_for.get(sign.identity, (0.0, 0))
-                crashes = ledger.count_crashes(sign.identity)
-                self.refused_for[sign.identity] = max(known, (seconds, crashes))
+        for at, ledger, evidence in [one for one in self._arriving if one[0] <= now]:
+            ledger.merge(evidence, at)
+            for item in evidence:
+                seconds = ledger.compute_refusal(item.identity, at)
+                known = self.refused_for.get(item.identity, (0.0, 0))
+                crashes = ledger.count_crashes(item.identity)
+                self.refused_for[item.identity] = max(known, (seconds, crashes))
         self._arriving = [one for one in self._arriving if one[0] > now]
 
 
@@ -205,7 +205,7 @@
 )
 def step_play(context, calls, instances):
     """Play each order."""
-    context.orders = [_Order(seed, instances) for seed in context.seeds]
+    context.orders = [_RandomOrder(seed, instances) for seed in context.seeds]
     for order in context.orders:
         order.play(calls)
 
