--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -1,8 +1,8 @@
-"""Know which work ends the endpoints that are given it.
+"""Keep track of the work that crashes the endpoints that run it.
 
-Work is a call that an endpoint runs, or an adapter that an engine loads. What
-is learned here is told to others by instance/crashes.py; the interface
-``openai`` has each instance know its own.
+Work is a call that an endpoint runs, or an adapter that an engine loads.
+instance/crashes.py reports the evidence that is found here to other instances;
+with the interface ``openai`` each instance keeps its own.
 """
 
 import zlib
@@ -11,17 +11,17 @@
 from roadlift.core.errors import EndsEndpoints
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.crashes import Crashes, Sign
+from roadlift.decisions.crashes import Crashes, CrashEvidence
 
 log = PartLog("crashes")
 
 
 @parts.register("crashledger")
 class CrashLedger:
-    """The signs that this process knows.
+    """The crash evidence that this process has.
 
-    ``on_news`` is called with signs that were learned here, or are cleared,
-    and ``on_change`` with the identity of work of which more is known.
+    ``on_evidence`` is called with evidence that was found or cleared here, and
+    ``on_change`` with the identity of work whose evidence changed.
     """
 
     name = "crashledger"
@@ -30,53 +30,56 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self.crashes = Crashes(zlib.crc32(kernel.settings.peer.encode()) / 2**32)
-        self.on_news: list[Callable[[list[Sign]], None]] = []
+        self.on_evidence: list[Callable[[list[CrashEvidence]], None]] = []
         self.on_change: list[Callable[[bytes], None]] = []
 
     def start(self) -> None:
-        """Do nothing; the ledger is told."""
+        """Do nothing; the ledger only reacts to calls."""
 
     def close(self) -> None:
         """Do nothing."""
 
     def judge(self, identify: Callable[[], bytes]) -> EndsEndpoints | None:
-        """Return why work is not to be given to an endpoint now, or None.
+        """Return why work must not be given to an endpoint now, or None.
 
-        ``identify`` returns its identity; it is asked only where anything is
-        known of any work.
+        ``identify`` returns its identity; it is called only if there is
+        evidence against any work.
         """
         if self.crashes.is_empty:
             return None
         identity = identify()
-        seconds = self.crashes.measure_refusal(identity, self._clock.now())
+        seconds = self.crashes.compute_refusal(identity, self._clock.now())
         if not seconds:
             return None
-        ends = self.crashes.count_ends(identity)
-        return EndsEndpoints(f"{ends} ended under it", round(seconds, 1))
+        count = self.crashes.count_crashes(identity)
+        return EndsEndpoints(
+            f"{count} endpoints crashed while running it", round(seconds, 1)
+        )
 
     def is_suspect(self, identify: Callable[[], bytes]) -> bool:
-        """Tell whether an endpoint ended under work that was not cleared."""
+        """Return whether an endpoint crashed under work not yet cleared."""
         return not self.crashes.is_empty and self.crashes.is_suspect(identify())
 
-    def learn(self, signs: list[Sign]) -> None:
-        """Learn of signs that no other instance has told."""
-        found = self.merge(signs)
+    def record_evidence(self, evidence: list[CrashEvidence]) -> None:
+        """Add evidence that no other instance has reported."""
+        found = self.merge(evidence)
         if found:
-            for listener in self.on_news:
+            for listener in self.on_evidence:
                 listener(found)
 
-    def merge(self, signs: list[Sign]) -> list[Sign]:
-        """Learn of signs; return those that are new."""
+    def merge(self, evidence: list[CrashEvidence]) -> list[CrashEvidence]:
+        """Add evidence; return what is new."""
         refused = self.crashes.list_refused()
-        found = self.crashes.merge(signs, self._clock.now())
-        changed = {sign.identity for sign in found}
-        # A cause that is sure now may explain what others were refused for.
+        found = self.crashes.merge(evidence, self._clock.now())
+        changed = {item.identity for item in found}
+        # A newly confirmed cause may explain crashes for which other work was
+        # refused.
         for identity in changed | (refused ^ self.crashes.list_refused()):
-            self._note_change(identity)
+            self._notify_change(identity)
         return found
 
     def clear(self, identify: Callable[[], bytes]) -> None:
-        """Learn that work came to a good end, or is to be given again."""
+        """Clear work that succeeded, or that is to be tried again."""
         if self.crashes.is_empty:
             return
         identity = identify()
@@ -85,18 +88,18 @@
             return
         if was_refused:
             log.event("work_cleared", identity=identity.hex())
-        self._note_change(identity)
-        cleared = self.crashes.list_signs(self._clock.now(), identity)
-        for listener in self.on_news:
+        self._notify_change(identity)
+        cleared = self.crashes.list_evidence(self._clock.now(), identity)
+        for listener in self.on_evidence:
             listener(cleared)
 
-    def _note_change(self, identity: bytes) -> None:
-        seconds = self.crashes.measure_refusal(identity, self._clock.now())
+    def _notify_change(self, identity: bytes) -> None:
+        seconds = self.crashes.compute_refusal(identity, self._clock.now())
         if seconds:
             log.event(
                 "work_barred",
                 identity=identity.hex(),
-                ends=self.crashes.count_ends(identity),
+                ends=self.crashes.count_crashes(identity),
                 seconds=round(seconds, 1),
             )
         for listener in self.on_change:
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -21,7 +21,7 @@
 )
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import KNOWN_DELAY
+from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.calls import Calls
 from roadlift.daemon.members import Members
@@ -187,7 +187,7 @@
         if self._kept is not None:
             self._kept.clear()
         endpoint = self._name_endpoint()
-        self._rests.note_send(endpoint)
+        self._rests.record_send(endpoint)
         # The call may wait for its connection when the endpoint wants rest.
         may_send = lambda: self._rests.is_awake(endpoint)
         self._open(address, request._replace(may_send=may_send))
@@ -224,9 +224,9 @@
         """Learn whether the endpoint wants calls from this process."""
         endpoint = self._name_endpoint()
         if status in TURNED_AWAY:
-            self._rests.note_rest(endpoint, read_retry_after(headers))
+            self._rests.record_backoff(endpoint, read_retry_after(headers))
         else:
-            self._rests.note_taken(endpoint, self._sent_at)
+            self._rests.record_accepted(endpoint, self._sent_at)
 
     def receive_body(self, data: bytes) -> None:
         """Relay body bytes and feel the caller's back-pressure."""
@@ -251,7 +251,7 @@
         if isinstance(error, ConnectionLost) and endpoint:
             has_begun = self._head is not None and not self._has_body
             ends, identity = self._calls.ends, self._identify()
-            ends.note_cut(endpoint, self._address, identity, has_begun)
+            ends.record_cut(endpoint, self._address, identity, has_begun)
         if self._head is not None and not self._is_refusal:
             error = StreamCut(error.detail)
         self._on_failure(error)
@@ -292,7 +292,7 @@
             return
         self._metrics.count("retries")
         if isinstance(error, ConnectionLost | StreamCut):
-            self._kernel.loop.call_later(KNOWN_DELAY, self._attempt)
+            self._kernel.loop.call_later(DETECTION_DELAY, self._attempt)
         else:
             self._attempt()
 
--- a/roadlift/decisions/crashes.py
+++ b/roadlift/decisions/crashes.py
@@ -1,18 +1,20 @@
-"""Judge which calls end the endpoints that run them.
-
-Load pattern: a call ends each endpoint that begins to run it, with all that
-runs there and all that the endpoint holds. It comes again under other ids, at
-any instance, each 0.2 to 0.8 seconds and at times at several at once. Of all
-calls that run on an endpoint when it ends, one is the cause at most, and
-endpoints end for other reasons too.
-
-What is known is a set of signs: an endpoint ended while it ran a call. Sets of
-several instances are merged in any order. A call is refused once its signs
-weigh enough, for longer with each further end, and it is cleared as soon as it
-runs to a good end: then the ends had another cause. Where many calls end
-endpoints, what only was there at several of these ends is told apart: a weak
-sign counts for less beside a strong one of the same end, and for nothing once
-the work of that one is sure to end endpoints.
+"""Identify calls that crash the endpoints that run them.
+
+Load pattern: a call crashes every endpoint that starts to run it, together
+with all other calls that run there and everything the endpoint holds. The
+caller repeats it under other ids, at any instance, every 0.2 to 0.8 seconds
+and sometimes several times at once. Of the calls that run on an endpoint when
+it crashes, at most one is the cause, and endpoints also crash for other
+reasons.
+
+The state is a set of pieces of evidence: an endpoint crashed while it ran a
+call. The sets of several instances can be merged in any order. A call is
+refused once the weight of its evidence reaches a threshold, for longer after
+each further crash. It is cleared as soon as it runs to a successful end, as
+the crashes then had another cause. Where several calls crash endpoints, calls
+that were only present at some of these crashes are told apart: weak evidence
+counts for less if there is strong evidence for the same crash, and for nothing
+once the work with the strong evidence is confirmed to crash endpoints.
 """
 
 import zlib
@@ -20,35 +22,36 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-# Weights of a sign: a call that ends its engine has the head of an answer and
-# no event, most others have events. A call that was only sent, or had events,
-# may be the cause too.
+# Weights of evidence. A call that crashes its engine has received the head of
+# an answer but no event; most other calls have received events. A call that
+# was only sent, or that had received events, may still be the cause.
 STRONG = 3
 WEAK = 2
-SHARED = 1  # Weight that counts of a weak sign beside a strong one.
-# Weight of all signs from which on a call is refused: two strong ones or three
-# of any kind, each of another endpoint. A call that is not the cause would
-# have to come again twice, and each time to begin where an endpoint ends.
-LIMIT = 6
-# Seconds of a refusal behind the second end; ten times as long with each
-# further one, as a call may be tried again: the endpoints' software may have
-# been mended.
+REDUCED = 1  # Weight of weak evidence if the same crash has strong evidence.
+# Total weight from which a call is refused: two strong pieces of evidence, or
+# three of any kind, each from another endpoint. A call that is not the cause
+# would have to be repeated twice and start on a crashing endpoint each time.
+REFUSAL_THRESHOLD = 6
+# Seconds of a refusal after the second crash, ten times as long after each
+# further one. Refusals expire because the endpoints' software may have been
+# fixed.
 FIRST_REFUSAL = 60.0
-GROWTH = 10.0
-MOST_REFUSAL = 3600.0
-# By how much longer, at most, an instance refuses than another, as a part. So
-# one tries a call before the others let it in, and tells them how it ended.
-SPREAD = 0.1
-# Seconds that a sign is kept behind the last end or the end of the refusal.
-MEMORY = 600.0
-MOST_CALLS = 256  # Calls that are remembered.
-
-
-class Sign(NamedTuple):
-    """That an endpoint ended while it ran a call, ``age`` seconds ago.
-
-    ``identity`` is of the call's work, ``endpoint`` of one run of an endpoint;
-    a ``weight`` of 0 tells that the call was not the cause.
+REFUSAL_GROWTH = 10.0
+MAX_REFUSAL = 3600.0
+# Largest fraction by which an instance refuses for longer than another. One
+# instance thus tries a call before the others admit it, and reports the result
+# to them.
+REFUSAL_JITTER = 0.1
+# Seconds that evidence is kept after the last crash or the end of the refusal.
+RETENTION = 600.0
+MAX_CALLS = 256  # Calls with evidence that are kept.
+
+
+class CrashEvidence(NamedTuple):
+    """An endpoint crashed while it ran a call, ``age`` seconds ago.
+
+    ``identity`` identifies the call's work, ``endpoint`` one run of an
+    endpoint. A ``weight`` of 0 means that the call was not the cause.
     """
 
     identity: bytes
@@ -58,212 +61,221 @@
 
 
 class _Causes(NamedTuple):
-    """Endpoints whose end has a strong sign, and those with a sure cause."""
+    """Endpoints whose crash has strong evidence, or a confirmed cause."""
 
     suspected: set[str]
-    sure: set[str]
+    confirmed: set[str]
 
-    def weigh(self, endpoint: str, weight: int) -> int:
-        """Return what counts of a sign."""
+    def compute_weight(self, endpoint: str, weight: int) -> int:
+        """Return the weight with which a piece of evidence counts."""
         if weight != WEAK or endpoint not in self.suspected:
             return weight
-        return 0 if endpoint in self.sure else SHARED
+        return 0 if endpoint in self.confirmed else REDUCED
 
 
 class _Record:
-    """The signs of one call: weights and times, by endpoint.
+    """The evidence against one call: weights and times, by endpoint.
 
-    ``causes`` are of all that is known.
+    ``causes`` is shared by all records.
     """
 
-    __slots__ = ("causes", "signs")
+    __slots__ = ("causes", "evidence")
 
     def __init__(self, causes: _Causes) -> None:
-        self.signs: dict[str, tuple[int, float]] = {}
+        self.evidence: dict[str, tuple[int, float]] = {}
         self.causes = causes
 
     def _list_weights(self) -> list[int]:
-        """Return the weights above 0 that count, one for each end."""
+        """Return the weights above 0 that count, one for each crash."""
         found = [
-            self.causes.weigh(endpoint, weight)
-            for endpoint, (weight, _) in self.signs.items()
+            self.causes.compute_weight(endpoint, weight)
+            for endpoint, (weight, _) in self.evidence.items()
         ]
         return [weight for weight in found if weight]
 
     @property
-    def is_sure(self) -> bool:
-        """Tell whether all signs weigh enough, whatever else was there."""
-        return sum(weight for weight, _ in self.signs.values()) >= LIMIT
+    def is_confirmed(self) -> bool:
+        """Return whether the unreduced weights reach the threshold."""
+        return sum(weight for weight, _ in self.evidence.values()) >= REFUSAL_THRESHOLD
 
     @property
     def weight(self) -> int:
-        """Return the weight of the signs that count."""
+        """Return the total weight of the evidence that counts."""
         return sum(self._list_weights())
 
     @property
     def is_refused(self) -> bool:
-        """Tell whether the signs that count weigh enough."""
-        return self.weight >= LIMIT
+        """Return whether the evidence that counts reaches the threshold."""
+        return self.weight >= REFUSAL_THRESHOLD
 
     @property
-    def ends(self) -> int:
-        """Return how many endpoints ended that count."""
+    def crash_count(self) -> int:
+        """Return the number of crashes that count."""
         return len(self._list_weights())
 
     def list_strong(self) -> list[str]:
-        """Return the endpoints of the strong signs."""
-        return [name for name, (weight, _) in self.signs.items() if weight >= STRONG]
+        """Return the endpoints with strong evidence."""
+        return [name for name, (weight, _) in self.evidence.items() if weight >= STRONG]
 
-    def measure_refusal(self) -> float:
-        """Return the seconds of the refusal behind the last end."""
+    def compute_refusal(self) -> float:
+        """Return the seconds of the refusal after the last crash."""
         if not self.is_refused:
             return 0.0
-        return min(MOST_REFUSAL, FIRST_REFUSAL * GROWTH ** (self.ends - 2))
+        return min(
+            MAX_REFUSAL, FIRST_REFUSAL * REFUSAL_GROWTH ** (self.crash_count - 2)
+        )
 
-    def find_last(self) -> float:
-        """Return when the last endpoint ended."""
-        return max(at for _, at in self.signs.values())
+    def find_last_crash(self) -> float:
+        """Return the time of the last crash."""
+        return max(at for _, at in self.evidence.values())
 
 
 class Crashes:
-    """The calls under which endpoints ended, as one instance knows them.
+    """The calls under which endpoints crashed, as known to one instance.
 
-    ``rank``, from 0 to 1, tells the instances apart.
+    ``rank``, from 0 to 1, differs between instances.
     """
 
     def __init__(self, rank: float = 0.0) -> None:
-        self._stretch = 1.0 + SPREAD * rank
+        self._stretch = 1.0 + REFUSAL_JITTER * rank
         self._records: OrderedDict[bytes, _Record] = OrderedDict()
         self._checksum: int | None = None
         self._causes = _Causes(set(), set())
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether nothing is known, so that no call need be looked at."""
+        """Return whether there is no evidence against any call."""
         return not self._records
 
     def is_suspect(self, identity: bytes) -> bool:
-        """Tell whether an endpoint ended under a call that was not cleared."""
+        """Return whether an endpoint crashed under a call not yet cleared."""
         record = self._records.get(identity)
         return record is not None and record.weight > 0
 
     def is_refused(self, identity: bytes) -> bool:
-        """Tell whether the signs against a call weigh enough to refuse it."""
+        """Return whether the evidence suffices to refuse a call."""
         record = self._records.get(identity)
         return record is not None and record.is_refused
 
     def is_settled(self, identity: bytes) -> bool:
-        """Tell whether nothing speaks against a call any more."""
+        """Return whether no evidence against a call remains."""
         record = self._records.get(identity)
-        return record is None or not any(weight for weight, _ in record.signs.values())
+        return record is None or not any(
+            weight for weight, _ in record.evidence.values()
+        )
 
-    def count_ends(self, identity: bytes) -> int:
-        """Return how many endpoints ended under a call."""
+    def count_crashes(self, identity: bytes) -> int:
+        """Return the number of endpoints that crashed under a call."""
         record = self._records.get(identity)
-        return record.ends if record is not None else 0
+        return record.crash_count if record is not None else 0
 
     def count_refused(self) -> int:
-        """Return how many calls are refused, or tried once more."""
+        """Return how many calls are refused or on a further trial."""
         return sum(record.is_refused for record in self._records.values())
 
-    def measure_refusal(self, identity: bytes, now: float) -> float:
+    def compute_refusal(self, identity: bytes, now: float) -> float:
         """Return the seconds for which a call may not run; 0 if it may."""
         record = self._records.get(identity)
         if record is None or not record.is_refused:
             return 0.0
-        until = record.find_last() + record.measure_refusal() * self._stretch
+        until = record.find_last_crash() + record.compute_refusal() * self._stretch
         return max(0.0, until - now)
 
-    def merge(self, signs: Iterable[Sign], now: float) -> list[Sign]:
-        """Learn of signs; return those that changed what is known."""
-        found = [sign for sign in signs if self._merge(sign, now)]
+    def merge(
+        self, evidence: Iterable[CrashEvidence], now: float
+    ) -> list[CrashEvidence]:
+        """Add evidence; return the pieces that changed the state."""
+        found = [item for item in evidence if self._merge(item, now)]
         if found:
-            self._explain()
+            self._update_causes()
         return found
 
     def list_refused(self) -> set[bytes]:
-        """Return the calls that are refused, or tried once more."""
+        """Return the calls that are refused or on a further trial."""
         return {name for name, record in self._records.items() if record.is_refused}
 
     def clear(self, identity: bytes) -> bool:
-        """Learn that a call ran to a good end; tell whether that is news."""
+        """Clear a call that succeeded; return whether this is new."""
         record = self._records.get(identity)
         if record is None or not record.weight:
             return False
-        record.signs = {name: (0, at) for name, (_, at) in record.signs.items()}
+        record.evidence = {name: (0, at) for name, (_, at) in record.evidence.items()}
         self._checksum = None
-        self._explain()
+        self._update_causes()
         return True
 
-    def list_signs(self, now: float, identity: bytes | None = None) -> list[Sign]:
-        """Return the signs of one call, or of all."""
+    def list_evidence(
+        self, now: float, identity: bytes | None = None
+    ) -> list[CrashEvidence]:
+        """Return the evidence against one call, or against all."""
         records = self._records.items()
         return [
-            Sign(name, endpoint, weight, round(now - at, 3))
+            CrashEvidence(name, endpoint, weight, round(now - at, 3))
             for name, record in records
             if identity in (None, name)
-            for endpoint, (weight, at) in record.signs.items()
+            for endpoint, (weight, at) in record.evidence.items()
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what is old."""
+        """Drop expired evidence."""
         for identity, record in list(self._records.items()):
-            until = record.find_last() + record.measure_refusal() + MEMORY
+            until = record.find_last_crash() + record.compute_refusal() + RETENTION
             if now > until:
                 del self._records[identity]
                 self._checksum = None
-        self._explain()
+        self._update_causes()
 
     def compute_checksum(self) -> int:
-        """Return a number that is the same where the same signs are known."""
+        """Return a checksum, equal on instances with the same evidence."""
         if self._checksum is None:
             self._checksum = 0
             for identity, record in self._records.items():
-                for endpoint, (weight, _) in record.signs.items():
+                for endpoint, (weight, _) in record.evidence.items():
                     data = identity + bytes([weight]) + endpoint.encode()
                     self._checksum ^= zlib.crc32(data)
         return self._checksum
 
-    def _merge(self, sign: Sign, now: float) -> bool:
-        record = self._records.get(sign.identity)
-        known = record.signs.get(sign.endpoint) if record is not None else None
-        if known is not None and not _is_stronger(sign.weight, known[0]):
+    def _merge(self, item: CrashEvidence, now: float) -> bool:
+        record = self._records.get(item.identity)
+        known = record.evidence.get(item.endpoint) if record is not None else None
+        if known is not None and not _supersedes(item.weight, known[0]):
             return False
         if record is None:
-            record = self._records[sign.identity] = _Record(self._causes)
-            self._make_room()
-        at = now - sign.age if known is None else known[1]
-        record.signs[sign.endpoint] = (sign.weight, at)
+            record = self._records[item.identity] = _Record(self._causes)
+            self._evict_oldest()
+        at = now - item.age if known is None else known[1]
+        record.evidence[item.endpoint] = (item.weight, at)
         self._checksum = None
         return True
 
-    def _explain(self) -> None:
-        """Find the causes of ends, from all signs that are known.
+    def _update_causes(self) -> None:
+        """Recompute the causes of crashes from all evidence.
 
-        The same signs give the same, in whatever order they came.
+        The result does not depend on the order in which the evidence arrived.
         """
         suspected: set[str] = set()
-        sure: set[str] = set()
+        confirmed: set[str] = set()
         for record in self._records.values():
             strong = record.list_strong()
             suspected.update(strong)
-            sure.update(strong if record.is_sure else ())
-        self._causes = _Causes(suspected, sure)
+            confirmed.update(strong if record.is_confirmed else ())
+        self._causes = _Causes(suspected, confirmed)
         for record in self._records.values():
             record.causes = self._causes
 
-    def _make_room(self) -> None:
-        """Forget the oldest call, one that is not refused if there is one."""
-        if len(self._records) <= MOST_CALLS:
+    def _evict_oldest(self) -> None:
+        """Drop the oldest call, one that is not refused if there is one."""
+        if len(self._records) <= MAX_CALLS:
             return
         older = list(self._records)[:-1]
         free = (name for name in older if not self._records[name].is_refused)
         del self._records[next(free, older[0])]
 
 
-def _is_stronger(weight: int, known: int) -> bool:
-    """Tell whether a sign goes before another of the same end.
+def _supersedes(weight: int, known: int) -> bool:
+    """Return whether evidence replaces other evidence of the same crash.
 
-    That work was not the cause is sure; else who saw most of it counts.
+    That work was not the cause is certain. Otherwise the instance that saw
+    most of the call counts.
     """
     return weight != known and (weight == 0 or weight > known > 0)
--- /dev/null
+++ b/roadlift/decisions/inactivity.py
@@ -0,0 +1,85 @@
+"""Detect engines that stopped responding while they generate.
+
+Load pattern: an engine fails, or a network path is cut, without any connection
+being reset. Streams that are generating receive an event every few steps. An
+engine from which none of them receives anything is therefore abandoned long
+before its callers time out, and before TCP does.
+"""
+
+from collections.abc import Callable
+
+# Seconds without a byte on any generating stream of an engine after which it
+# is abandoned: about ten times the longest usual time between two events.
+INACTIVITY_TIMEOUT = 0.6
+# Longest time between two checks, in seconds. If it was longer, this process
+# itself was suspended, and bytes that it did not read say nothing about
+# engines.
+MAX_CHECK_INTERVAL = 0.3
+
+
+class _MonitoredEngine:
+    """This process's calls at an engine, and when it last responded."""
+
+    __slots__ = ("calls", "generating", "last_event_at")
+
+    def __init__(self, now: float) -> None:
+        self.calls: dict[object, Callable[[], None]] = {}
+        self.generating: set[object] = set()
+        self.last_event_at = now
+
+
+class InactivityMonitor:
+    """The calls of this process at engines, to detect unresponsive engines."""
+
+    def __init__(self, timeout: float = INACTIVITY_TIMEOUT) -> None:
+        self._timeout = timeout
+        self._engines: dict[str, _MonitoredEngine] = {}
+        self._checked_at: float | None = None
+
+    def begin(
+        self,
+        endpoint: str,
+        call: object,
+        on_unresponsive: Callable[[], None],
+        now: float,
+    ) -> None:
+        """Monitor a call that was sent; ``on_unresponsive`` makes it leave."""
+        monitored = self._engines.setdefault(endpoint, _MonitoredEngine(now))
+        monitored.calls[call] = on_unresponsive
+
+    def record_event(self, endpoint: str, call: object, now: float) -> None:
+        """Record an event of a call, which generates from now on."""
+        monitored = self._engines.get(endpoint)
+        if monitored is not None:
+            monitored.generating.add(call)
+            monitored.last_event_at = now
+
+    def end(self, endpoint: str, call: object) -> None:
+        """Stop monitoring a call."""
+        monitored = self._engines.get(endpoint)
+        if monitored is None:
+            return
+        monitored.calls.pop(call, None)
+        monitored.generating.discard(call)
+        if not monitored.calls:
+            del self._engines[endpoint]
+
+    def list_unresponsive(self, now: float) -> list[str]:
+        """Return the engines that stopped responding while they generate."""
+        last, self._checked_at = self._checked_at, now
+        if last is None or now - last > MAX_CHECK_INTERVAL:
+            for monitored in self._engines.values():
+                monitored.last_event_at = now
+            return []
+        return [
+            name
+            for name, monitored in self._engines.items()
+            if monitored.generating and now - monitored.last_event_at > self._timeout
+        ]
+
+    def abandon(self, endpoint: str) -> None:
+        """Make all calls leave an engine."""
+        monitored = self._engines.get(endpoint)
+        if monitored is not None:
+            for on_unresponsive in list(monitored.calls.values()):
+                on_unresponsive()
--- a/roadlift/decisions/loading.py
+++ b/roadlift/decisions/loading.py
@@ -1,27 +1,27 @@
-"""Learn how long a call waits until its adapter is loaded.
+"""Estimate how long a call waits until its adapter is loaded.
 
 Load pattern: most adapters are called once or twice, so that many calls begin
-with a load. One from the weight store takes ten times as long as one from an
-engine's own memory, and both grow when many are on their way.
+with a load. A load from the weight store takes ten times as long as one from
+an engine's own memory, and both take longer when many loads are in progress.
 """
 
 import enum
 import math
 
 SMOOTHING = 0.2  # Weight of the latest wait in an estimate.
-MOST_SAMPLE = 2.0  # Seconds of one wait that count at most.
-# Seconds in which an estimate loses half its distance to the first guess
-# while nothing is learned. A call whose load is predicted to come too late is
-# refused, and teaches nothing: behind a time of slow loads, calls would be
-# refused for good.
+MAX_SAMPLE = 2.0  # Upper bound of one sample, in seconds.
+# Seconds in which an estimate loses half its distance to the initial estimate
+# while there are no samples. A call whose load is predicted to finish too late
+# is refused and provides no sample: without the decay, calls would be refused
+# forever after a period of slow loads.
 HALF_LIFE = 5.0
 
 
-class Source(enum.Enum):
-    """Where an engine has an adapter from.
+class AdapterSource(enum.Enum):
+    """Where an engine gets an adapter from.
 
-    HELD: it is in a place there. AT_HAND: the engine held it a while ago and
-    has it in its memory. STORE: the weight store must send it.
+    HELD: it is in a slot there. AT_HAND: the engine held it before and still
+    has it in memory. STORE: it must be fetched from the weight store.
     """
 
     HELD = "held"
@@ -29,94 +29,99 @@
     STORE = "store"
 
 
-# Seconds before anything was observed: a transfer of some tens of megabytes,
-# and a tenth of it from memory, with the messages around it.
-_FIRST_GUESSES = {Source.HELD: 0.0, Source.AT_HAND: 0.05, Source.STORE: 0.3}
-FIRST_PLACE_WAIT = 0.3  # Seconds until a place comes free, likewise.
+# Seconds assumed before the first sample: a transfer of some tens of
+# megabytes, a tenth of that from memory, including the messages.
+_INITIAL_ESTIMATES = {
+    AdapterSource.HELD: 0.0,
+    AdapterSource.AT_HAND: 0.05,
+    AdapterSource.STORE: 0.3,
+}
+INITIAL_SLOT_WAIT = 0.3  # Seconds until a slot becomes free, likewise.
 
 
-class Generations:
-    """The seconds that a route's calls take behind their first event."""
+class GenerationTimes:
+    """The seconds that a route's calls take after their first event."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
     def note(self, route: str, seconds: float) -> None:
-        """Learn how long a call generated."""
+        """Record how long a call generated."""
         known = self._means.get(route, seconds)
         self._means[route] = known + SMOOTHING * (seconds - known)
 
     def estimate(self, route: str) -> float:
-        """Return how long a route's calls generate; 0 where none is known."""
+        """Return how long a route's calls generate; 0 if not known."""
         return self._means.get(route, 0.0)
 
 
-# How many times the usual deviation of loads from their estimate a load is
-# begun sooner than the last moment: what comes just too late serves nobody.
-SAFETY = 2.0
+# Loads begin before the last possible moment by this many times their mean
+# deviation from the estimate: a load that finishes just too late serves no
+# call.
+SAFETY_FACTOR = 2.0
 
 
 class _Estimate:
-    """An estimate in seconds that fades to its first guess without samples.
+    """An estimate in seconds that decays to its initial value without samples.
 
-    So does the usual deviation of the samples from it, to none.
+    The mean deviation of the samples from it decays to 0 likewise.
     """
 
-    __slots__ = ("_deviation", "_guess", "_noted_at", "_value")
+    __slots__ = ("_deviation", "_initial", "_updated_at", "_value")
 
-    def __init__(self, guess: float) -> None:
-        self._guess = guess
-        self._noted_at = 0.0
-        self._value = guess
+    def __init__(self, initial: float) -> None:
+        self._initial = initial
+        self._updated_at = 0.0
+        self._value = initial
         self._deviation = 0.0
 
     def get(self, now: float) -> float:
         """Return the estimate."""
-        return self._guess + (self._value - self._guess) * self._fade(now)
+        return self._initial + (self._value - self._initial) * self._decay(now)
 
-    def measure_deviation(self, now: float) -> float:
-        """Return by how much the samples differed from the estimate."""
-        return self._deviation * self._fade(now)
+    def compute_deviation(self, now: float) -> float:
+        """Return the mean deviation of the samples from the estimate."""
+        return self._deviation * self._decay(now)
 
-    def _fade(self, now: float) -> float:
-        return math.exp2((self._noted_at - now) / HALF_LIFE)
+    def _decay(self, now: float) -> float:
+        return math.exp2((self._updated_at - now) / HALF_LIFE)
 
     def note(self, seconds: float, now: float) -> None:
-        """Take a sample."""
+        """Add a sample."""
         known = self.get(now)
-        error = min(seconds, MOST_SAMPLE) - known
-        deviation = self.measure_deviation(now)
+        error = min(seconds, MAX_SAMPLE) - known
+        deviation = self.compute_deviation(now)
         self._deviation = deviation + SMOOTHING * (abs(error) - deviation)
         self._value = known + SMOOTHING * error
-        self._noted_at = now
+        self._updated_at = now
 
 
 class LoadWaits:
-    """The seconds from asking for an adapter to its being loaded."""
+    """The seconds from a load request until the adapter is loaded."""
 
     def __init__(self) -> None:
         self._loads = {
-            source: _Estimate(guess) for source, guess in _FIRST_GUESSES.items()
+            source: _Estimate(initial) for source, initial in _INITIAL_ESTIMATES.items()
         }
-        self._place = _Estimate(FIRST_PLACE_WAIT)
+        self._slot_wait = _Estimate(INITIAL_SLOT_WAIT)
 
-    def note(self, source: Source, seconds: float, now: float) -> None:
-        """Learn how long a load took for which a place was free."""
+    def note(self, source: AdapterSource, seconds: float, now: float) -> None:
+        """Record how long a load took for which a slot was free."""
         self._loads[source].note(seconds, now)
 
-    def note_place(self, seconds: float, now: float) -> None:
-        """Learn how long it took until a full engine had a place free."""
-        self._place.note(seconds, now)
+    def record_slot_wait(self, seconds: float, now: float) -> None:
+        """Record how long it took until a full engine had a free slot."""
+        self._slot_wait.note(seconds, now)
 
-    def estimate(self, source: Source, now: float) -> float:
+    def estimate(self, source: AdapterSource, now: float) -> float:
         """Return how long a load takes."""
         return self._loads[source].get(now)
 
-    def estimate_safely(self, source: Source, now: float) -> float:
-        """Return within how many seconds nearly every load is done."""
+    def estimate_upper_bound(self, source: AdapterSource, now: float) -> float:
+        """Return a time within which nearly every load is done."""
         known = self._loads[source]
-        return known.get(now) + SAFETY * known.measure_deviation(now)
+        return known.get(now) + SAFETY_FACTOR * known.compute_deviation(now)
 
-    def estimate_place(self, now: float) -> float:
-        """Return how long it takes until a full engine has a place free."""
-        return self._place.get(now)
+    def estimate_slot_wait(self, now: float) -> float:
+        """Return how long it takes until a full engine has a free slot."""
+        return self._slot_wait.get(now)
--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -1,9 +1,9 @@
-"""Know how loaded engines are, from what owners tell and what was sent since.
+"""Estimate the load of engines from owners' reports and later local sends.
 
-Load pattern: many instances send to the same engines without a common count.
-An owner tells what all of them have there, some tens of milliseconds late;
-what this process has sent or ended since is added, so that it does not send a
-second long prompt behind a first one that nobody has told of yet.
+Load pattern: many instances send to the same engines without a shared counter.
+An owner reports the calls of all instances, some tens of milliseconds late.
+What this process has sent or finished since then is added, so that it does not
+send a second long prompt after a first one that is in no report yet.
 """
 
 from collections.abc import Collection, Mapping
@@ -11,52 +11,59 @@
 
 from roadlift.serving.loads import FIRST_DURATION, measure_queue
 
-# Part by which an engine's calls, or the prompt tokens unread there, must
-# differ from what was told to be told again, and the tokens of that at least.
-TOLD_PART = 0.2
-TOLD_TOKENS = 512
-# Places of an engine of which nothing is told: enough to be asked.
-UNTOLD_PLACES = 1
-TELL_ALL_PERIOD = 2.0  # Seconds between tellings of the loads of all engines.
+# Fraction by which an engine's calls, or its unread prompt tokens, must differ
+# from the last report to be reported again, and the minimum change in tokens.
+REPORT_FRACTION = 0.2
+REPORT_MIN_TOKENS = 512
+# Adapter slots of an engine without a report: enough to send a request.
+UNREPORTED_SLOTS = 1
+FULL_REPORT_INTERVAL = 2.0  # Seconds between reports of the loads of all engines.
 
 
 class EngineLoad(NamedTuple):
-    """How loaded an engine is: calls, prompt tokens unread, free places.
+    """The load of an engine: calls, unread prompt tokens, free adapter slots.
 
-    ``places`` are those in which adapters can be loaded now; a negative number
-    tells how many wait beyond them. ``loads`` are on their way or waiting,
-    each of which takes ``load_time`` seconds, as its owner saw of late.
+    ``free_slots`` is the number of slots into which adapters can be loaded
+    now; a negative number is how many adapters wait beyond them. ``loads`` are
+    in progress or waiting; each takes ``load_time`` seconds, as recently
+    observed by its owner.
     """
 
     running: int
     reading: int
-    places: int
+    free_slots: int
     loads: int = 0
     load_time: float = FIRST_DURATION
 
-    def differs(self, told: "EngineLoad") -> bool:
-        """Tell whether a subscriber should hear of this load."""
-        calls = abs(self.running - told.running) > TOLD_PART * told.running
-        change = abs(self.reading - told.reading)
-        tokens = change > max(TOLD_TOKENS, TOLD_PART * told.reading)
-        is_same = (self.places, self.loads) == (told.places, told.loads)
-        pace = abs(self.load_time - told.load_time) > TOLD_PART * told.load_time
-        return calls or tokens or pace or not is_same
+    def differs(self, reported: "EngineLoad") -> bool:
+        """Return whether subscribers need a report of this load."""
+        calls = (
+            abs(self.running - reported.running) > REPORT_FRACTION * reported.running
+        )
+        change = abs(self.reading - reported.reading)
+        tokens = change > max(REPORT_MIN_TOKENS, REPORT_FRACTION * reported.reading)
+        is_same = (self.free_slots, self.loads) == (reported.free_slots, reported.loads)
+        load_time_change = (
+            abs(self.load_time - reported.load_time)
+            > REPORT_FRACTION * reported.load_time
+        )
+        return calls or tokens or load_time_change or not is_same
 
 
-class ToldLoads:
-    """The loads of engines as one listener, or a group, was told them."""
+class ReportedLoads:
+    """The loads of engines as last reported to one or more receivers."""
 
     def __init__(self) -> None:
         self._loads: dict[str, EngineLoad] = {}
         self._all_at = float("-inf")
 
     def list_changed(self, loads: Mapping[str, EngineLoad], now: float) -> list:
-        """Return the loads that differ from what was told, as to be told now.
+        """Return the loads to report: those that differ from the last report.
 
-        All of them each TELL_ALL_PERIOD, as a message may have been dropped.
+        All loads are reported once per FULL_REPORT_INTERVAL, as a message may
+        have been dropped.
         """
-        if now - self._all_at >= TELL_ALL_PERIOD:
+        if now - self._all_at >= FULL_REPORT_INTERVAL:
             self._all_at = now
             self._loads.clear()
         changed = []
@@ -68,91 +75,96 @@
         return changed
 
 
-class _Told(NamedTuple):
-    """A load as a zone's owner told it, and the own part at that time."""
+class _ReportedLoad(NamedTuple):
+    """A load as reported by a zone's owner, and the local load then."""
 
     load: EngineLoad
     zone: str
-    own_running: int
-    own_reading: int
+    local_running: int
+    local_reading: int
 
 
 class Workload:
-    """The loads of engines as one process knows them."""
+    """The loads of engines as known to one process."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._reports: dict[str, _ReportedLoad] = {}
         self._reading: dict[str, int] = {}
-        self._silent_zones: set[str] = set()
+        self._ignored_zones: set[str] = set()
 
     def change_reading(self, endpoint: str, tokens: int) -> None:
-        """Count prompt tokens that this process sent, or that were read."""
-        self._reading[endpoint] = max(0, self.count_own_reading(endpoint) + tokens)
+        """Add prompt tokens that were sent; negative if they were read."""
+        self._reading[endpoint] = max(0, self.count_local_reading(endpoint) + tokens)
 
-    def count_own_reading(self, endpoint: str) -> int:
+    def count_local_reading(self, endpoint: str) -> int:
         """Return the unread prompt tokens of this process's calls."""
         return self._reading.get(endpoint, 0)
 
-    def note_told(
-        self, endpoint: str, zone: str, load: EngineLoad, own_running: int
+    def record_report(
+        self, endpoint: str, zone: str, load: EngineLoad, local_running: int
     ) -> None:
-        """Learn what an owner tells, while so many own calls run there."""
-        own_reading = self.count_own_reading(endpoint)
-        self._told[endpoint] = _Told(load, zone, own_running, own_reading)
-
-    def pass_over(self, zones: Collection[str]) -> None:
-        """Use nothing that the owners of zones told, as they fell silent."""
-        self._silent_zones = set(zones)
-
-    def _find_told(self, endpoint: str) -> _Told | None:
-        told = self._told.get(endpoint)
-        return None if told is None or told.zone in self._silent_zones else told
-
-    def take_place(self, endpoint: str) -> None:
-        """Count a load that this process asked for, and its place."""
-        told = self._told.get(endpoint)
-        if told is not None:
-            load = told.load._replace(
-                places=told.load.places - 1, loads=told.load.loads + 1
+        """Record an owner's report, and the local load at that time."""
+        local_reading = self.count_local_reading(endpoint)
+        self._reports[endpoint] = _ReportedLoad(
+            load, zone, local_running, local_reading
+        )
+
+    def ignore_zones(self, zones: Collection[str]) -> None:
+        """Ignore the reports for zones whose owners stopped responding."""
+        self._ignored_zones = set(zones)
+
+    def _find_report(self, endpoint: str) -> _ReportedLoad | None:
+        report = self._reports.get(endpoint)
+        return None if report is None or report.zone in self._ignored_zones else report
+
+    def reserve_slot(self, endpoint: str) -> None:
+        """Count a load that this process requested, and its slot."""
+        report = self._reports.get(endpoint)
+        if report is not None:
+            load = report.load._replace(
+                free_slots=report.load.free_slots - 1, loads=report.load.loads + 1
             )
-            self._told[endpoint] = told._replace(load=load)
+            self._reports[endpoint] = report._replace(load=load)
 
-    def deny_place(self, endpoint: str) -> None:
-        """Learn that an engine had no place left."""
-        told = self._told.get(endpoint)
-        if told is not None:
-            load = told.load._replace(places=min(told.load.places, 0))
-            self._told[endpoint] = told._replace(load=load)
+    def mark_full(self, endpoint: str) -> None:
+        """Record that an engine had no free slot."""
+        report = self._reports.get(endpoint)
+        if report is not None:
+            load = report.load._replace(free_slots=min(report.load.free_slots, 0))
+            self._reports[endpoint] = report._replace(load=load)
 
     def count_ahead(self, endpoint: str) -> int:
-        """Return about how many prompt tokens are to be read at an engine."""
-        own = self.count_own_reading(endpoint)
-        told = self._find_told(endpoint)
-        if told is None:
-            return own
-        return max(own, told.load.reading + own - told.own_reading)
-
-    def count_running(self, endpoint: str, own: int) -> int:
-        """Return about how many calls run at an engine, ``own`` among them."""
-        told = self._find_told(endpoint)
-        if told is None:
-            return own
-        return max(own, told.load.running + own - told.own_running)
-
-    def count_places(self, endpoint: str) -> int:
-        """Return for how many further adapters an engine has places."""
-        told = self._find_told(endpoint)
-        return UNTOLD_PLACES if told is None else told.load.places
+        """Return an estimate of the prompt tokens to be read at an engine."""
+        local = self.count_local_reading(endpoint)
+        report = self._find_report(endpoint)
+        if report is None:
+            return local
+        return max(local, report.load.reading + local - report.local_reading)
+
+    def count_running(self, endpoint: str, local: int) -> int:
+        """Return an estimate of the calls that run at an engine.
+
+        ``local`` is the number of this process's calls among them.
+        """
+        report = self._find_report(endpoint)
+        if report is None:
+            return local
+        return max(local, report.load.running + local - report.local_running)
+
+    def count_free_slots(self, endpoint: str) -> int:
+        """Return the number of free adapter slots of an engine."""
+        report = self._find_report(endpoint)
+        return UNREPORTED_SLOTS if report is None else report.load.free_slots
 
     def measure_queue(self, endpoint: str) -> float:
         """Return the seconds until a further load begins at an engine."""
-        told = self._find_told(endpoint)
-        if told is None:
+        report = self._find_report(endpoint)
+        if report is None:
             return 0.0
-        return measure_queue(told.load.loads, told.load.load_time)
+        return measure_queue(report.load.loads, report.load.load_time)
 
     def forget(self, known: Collection[str]) -> None:
-        """Drop the engines that are gone."""
-        for endpoint in (set(self._told) | set(self._reading)) - set(known):
-            self._told.pop(endpoint, None)
+        """Drop the engines that no longer exist."""
+        for endpoint in (set(self._reports) | set(self._reading)) - set(known):
+            self._reports.pop(endpoint, None)
             self._reading.pop(endpoint, None)
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -16,10 +16,10 @@
 )
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.crashes.ends import KNOWN_DELAY
+from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.decisions.limits import Basis
-from roadlift.decisions.loading import Source
+from roadlift.decisions.loading import AdapterSource
 from roadlift.decisions.resending import Sends, find_obstacle
 from roadlift.endpoints.events import EventFrames
 from roadlift.http.messages import drop_hop_by_hop
@@ -137,7 +137,7 @@
     def start(self) -> None:
         """Begin with the first send."""
         now = self._began_at
-        self._ingress.get_budget(self._service).note_request(now)
+        self._ingress.get_budget(self._service).count_request(now)
         self._timer = self._kernel.loop.call_later(
             max(0.0, self._deadline - now), self._on_deadline
         )
@@ -212,7 +212,7 @@
         option = self._placing.choose_engine(self._service, self.call, excluded)
         if option is None:
             return False
-        if option.engine.source is Source.HELD:
+        if option.engine.source is AdapterSource.HELD:
             self._reach(option.engine.endpoint)
             return True
         obstacle = self._ledger.judge(self._identify_load)
@@ -416,7 +416,7 @@
         if self._is_reading:
             self._learn_reading()
             self._note_read()
-        self._placing.silence.note_event(self._endpoint.id, self, now)
+        self._placing.silence.record_event(self._endpoint.id, self, now)
 
     def _on_silent(self) -> None:
         """Leave an engine that went silent, where the call may run again."""
@@ -517,7 +517,7 @@
             return
         if isinstance(error, ConnectionLost):
             has_begun = self._describe_answer() == "head"
-            self._crashes.note_cut(endpoint, self._identify(), has_begun)
+            self._crashes.record_cut(endpoint, self._identify(), has_begun)
         if error.outcome is not Outcome.NOT_RUN:
             self._runs += 1
         if self._caller.started:
@@ -632,7 +632,7 @@
     def _try_again(self, error: RoadliftError) -> None:
         """Send again, behind a cut once it is known if the endpoint ended."""
         if isinstance(error, ConnectionLost | StreamCut):
-            self._kernel.loop.call_later(KNOWN_DELAY, self._try)
+            self._kernel.loop.call_later(DETECTION_DELAY, self._try)
         else:
             self._try()
 
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -6,11 +6,11 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.decisions.loading import Generations, LoadWaits, Source
-from roadlift.decisions.placement import Engine, Need, Option, choose_engine
+from roadlift.decisions.balancing import MAX_RETRY_FILL
+from roadlift.decisions.inactivity import InactivityMonitor
+from roadlift.decisions.loading import AdapterSource, GenerationTimes, LoadWaits
+from roadlift.decisions.placement import Engine, Option, Requirements, choose_engine
 from roadlift.decisions.reading import ReadingTimes
-from roadlift.decisions.silence import SilenceWatch
-from roadlift.decisions.spread import SPARE_FILL
 from roadlift.decisions.urgency import Urgency
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
@@ -84,8 +84,8 @@
         self.health = self._knowledge.health
         self.paces = Paces()
         self.reading_times = ReadingTimes()
-        self.generations = Generations()
-        self.silence = SilenceWatch()
+        self.generations = GenerationTimes()
+        self.silence = InactivityMonitor()
         self._knowledge.on_held.append(self._wake)
         self._knowledge.on_denial.append(self._take_denial)
         self._follower.on_directory.append(self._forget_gone)
@@ -125,8 +125,8 @@
         """
         usable = self._list_open(service, excluded, now)
         others = [one for one in usable if not self._limits.is_spared(one.id)]
-        fill = self._services.spread.measure_fill(service, others, now)
-        return others if others and fill < SPARE_FILL else usable
+        fill = self._services.spread.compute_fill(service, others, now)
+        return others if others and fill < MAX_RETRY_FILL else usable
 
     def _list_open(
         self, service: str, excluded: set[str], now: float
@@ -165,7 +165,7 @@
         None lets it in; ``objective`` is in seconds.
         """
         now = self._kernel.clock.now()
-        self._services.find_own(service).note_asked(now)
+        self._services.find_own(service).count_request(now)
         usable = self._list_open(service, set(), now)
         if not usable:
             return None
@@ -175,8 +175,8 @@
         """Tell whether a plain service has slots to spare for second tries."""
         now = self._kernel.clock.now()
         usable = self._list_open(service, set(), now)
-        fill = self._services.spread.measure_fill(service, usable, now)
-        return fill < SPARE_FILL
+        fill = self._services.spread.compute_fill(service, usable, now)
+        return fill < MAX_RETRY_FILL
 
     def choose_engine(
         self, service: str, call: Call, excluded: set[str]
@@ -192,7 +192,7 @@
     ) -> Option | None:
         now = self._kernel.clock.now()
         usable = self._list_usable(service, excluded, now)
-        need = Need(tokens, self._kernel.settings.zone)
+        need = Requirements(tokens, self._kernel.settings.zone)
         engines = self._view(service, usable, model, now)
         option = choose_engine(need, engines, self.reading_times, self._loading, now)
         if option is not None:
@@ -207,7 +207,7 @@
     def estimate_load(self, option: Option) -> float:
         """Return the seconds in which a load is done that begins now."""
         now = self._kernel.clock.now()
-        return self._loading.estimate_safely(option.engine.source, now)
+        return self._loading.estimate_upper_bound(option.engine.source, now)
 
     def estimate_reading(self, option: Option, call: Call) -> float:
         """Return the seconds that an engine takes to read a call's prompt."""
@@ -217,13 +217,13 @@
 
     def _look_for_silence(self) -> None:
         now = self._kernel.clock.now()
-        silent = self.silence.find_silent(now)
+        silent = self.silence.list_unresponsive(now)
         for endpoint in silent:
             self.health.note_absence(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
         # All are known to be silent before a call chooses another engine.
         for endpoint in silent:
-            self.silence.leave(endpoint)
+            self.silence.abandon(endpoint)
 
     def _list_usable(
         self, service: str, excluded: set[str], now: float
@@ -239,7 +239,7 @@
             for one in self._follower.directory.list_service(service)
             if one.id not in excluded
             and self._standings.is_last_resort(one.id)
-            and not self._standings.measure_rest(one.id)
+            and not self._standings.measure_backoff(one.id)
         ]
 
     def find_rest(self, service: str, model: Model | None) -> Rest | None:
@@ -249,7 +249,7 @@
         the service rest; None where there are none.
         """
         ready = self._follower.directory.list_ready(service)
-        rests = [Rest(one, self._standings.measure_rest(one.id)) for one in ready]
+        rests = [Rest(one, self._standings.measure_backoff(one.id)) for one in ready]
         resting = [rest for rest in rests if rest.seconds > 0.0]
         if len(resting) < len(ready):
             least = self._follower.find_version(model) if model is not None else 0
@@ -262,7 +262,7 @@
         """Tell whether an engine holds what a call needs."""
         if model is None or not endpoint.holds(model.base):
             return False
-        return self._find_source(endpoint.id, model, least) is Source.HELD
+        return self._find_source(endpoint.id, model, least) is AdapterSource.HELD
 
     def _view(
         self, service: str, usable: list[Endpoint], model: Model, now: float
@@ -274,7 +274,7 @@
             Engine(
                 endpoint,
                 self.count_ahead(endpoint.id),
-                self._workload.count_places(endpoint.id),
+                self._workload.count_free_slots(endpoint.id),
                 self._find_source(endpoint.id, model, least),
                 rank,
                 self._knowledge.has_owner(endpoint.zone),
@@ -298,12 +298,12 @@
             one for one in usable if one.id in holders and one not in ranked
         ]
 
-    def _find_source(self, endpoint: str, model: Model, least: int) -> Source:
+    def _find_source(self, endpoint: str, model: Model, least: int) -> AdapterSource:
         if not model.adapter or self._residency.holds(endpoint, model, least):
-            return Source.HELD
+            return AdapterSource.HELD
         if self._residency.is_at_hand(endpoint, model, least):
-            return Source.AT_HAND
-        return Source.STORE
+            return AdapterSource.AT_HAND
+        return AdapterSource.STORE
 
     def count_ahead(self, endpoint: str) -> int:
         """Return about how many prompt tokens are to be read at an engine."""
@@ -397,7 +397,7 @@
         wish.denied.pop(endpoint.id, None)
         wish.engine = engine
         self._send_ask(endpoint, model, wish.measure_urgency(wish.asked_at))
-        self._workload.take_place(endpoint.id)
+        self._workload.reserve_slot(endpoint.id)
         for waiter in wish.waiters:
             self._commit(waiter, endpoint)
             waiter.on_ask(endpoint)
@@ -439,7 +439,7 @@
         if not wish.waiters:
             self._wishes.pop(key, None)
             return
-        if option.engine.source is Source.HELD:
+        if option.engine.source is AdapterSource.HELD:
             self._wake(model, "")
         else:
             self._ask(key, wish, option.engine)
@@ -509,7 +509,7 @@
             return
         load = self._loading.estimate(wish.engine.source, now)
         waited = max(0.0, now - wish.began_at - load - queue)
-        self._loading.note_place(waited / (1 - wish.engine.places), now)
+        self._loading.record_slot_wait(waited / (1 - wish.engine.places), now)
 
     # What the owners tell.
 
@@ -517,7 +517,7 @@
         model = Model(denial.base, denial.adapter)
         for (service, wanted), wish in list(self._wishes.items()):
             if wanted == model and wish.endpoint == denial.endpoint:
-                self._workload.deny_place(denial.endpoint)
+                self._workload.mark_full(denial.endpoint)
                 wish.denied[denial.endpoint] = self._kernel.clock.now()
                 self._ask_elsewhere((service, wanted), wish)
 
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -105,7 +105,7 @@
             self._source.plan()
 
     def _count_reading(self, endpoint: str) -> int:
-        own = self._knowledge.workload.count_own_reading(endpoint)
+        own = self._knowledge.workload.count_local_reading(endpoint)
         return own + self._members.count_reading(endpoint)
 
     def send_ask(self, ask: Ask) -> None:
@@ -123,7 +123,7 @@
 
     # The calls of subscribers, where this process is an aggregator.
 
-    def note_member(self, heartbeat: Heartbeat) -> None:
+    def record_member(self, heartbeat: Heartbeat) -> None:
         """Take what a subscriber tells of its calls."""
         member = heartbeat.address
         if heartbeat.is_whole:
--- a/roadlift/organisations/fleet.py
+++ b/roadlift/organisations/fleet.py
@@ -1,26 +1,31 @@
-"""Add up what a fleet uses of organisations' allowances, at an aggregator.
+"""Add up at an aggregator what a fleet uses of organisations' allowances.
 
-Uses are told as totals, so that a lost message costs nothing. An instance
-that falls silent is taken to use on what it was asked for last. See
-``shares`` for what is made of it.
+Usage is reported as totals, so that a lost message does no harm. An instance
+that stops reporting is assumed to use as much as its last reported demand. See
+``shares`` for how this is used.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from roadlift.organisations.shares import FREE_PART, MOST_DEBT, NEWS_LIMIT, Limits
+from roadlift.organisations.shares import (
+    FREE_FRACTION,
+    MAX_DEBT,
+    STATE_MAX_AGE,
+    AllowanceTolerance,
+)
 from roadlift.serving.routes import Allowance
 
-# Amounts a second that are asked for below which a use is told no more: a
-# call that counts as 1 is told of for 8 s. With 1.0, calls that came less than
-# once a second to each instance were never counted.
-LEAST_DEMAND = 0.01
+# Demand a second below which a usage is no longer reported: a call that counts
+# as 1 is reported for 8 s. With 1.0, calls that arrived less than once a
+# second at each instance were never counted.
+MIN_DEMAND = 0.01
 
 
 class Use(NamedTuple):
     """What was used of an allowance since a process began.
 
-    ``demand`` is what is asked for, a second.
+    ``demand`` is the amount requested a second.
     """
 
     name: str
@@ -29,103 +34,112 @@
 
 
 class FleetState(NamedTuple):
-    """What an aggregator tells an instance of an organisation.
+    """What an aggregator reports to an instance about an organisation.
 
-    It speaks for a ``part`` of the allowance, of which ``level`` is left,
-    and in which ``demand`` is asked for, a second. ``counted`` is what it
-    has counted of the instance's own use.
+    It speaks for a ``fraction`` of the allowance, of which ``level`` is left,
+    with a ``demand`` a second. ``counted`` is what it has counted of the
+    instance's own usage.
     """
 
     name: str
     is_free: bool
-    part: float
+    fraction: float
     demand: float
     level: float
     counted: float
 
 
-class _Teller:
-    """What one instance, or another aggregator, told last."""
+class _Reporter:
+    """The last report of one instance, or of another aggregator."""
 
-    __slots__ = ("_presumed_at", "counted", "heard_at", "members", "process", "uses")
+    __slots__ = (
+        "_extrapolated_at",
+        "counted",
+        "reported_at",
+        "members",
+        "process",
+        "uses",
+    )
 
     def __init__(self, process: int, now: float) -> None:
         self.process = process
-        self.heard_at = now
+        self.reported_at = now
         self.members = 0
         self.uses: dict[str, Use] = {}
         self.counted: dict[str, float] = {}
-        self._presumed_at = now
+        self._extrapolated_at = now
 
-    def take(self, uses: Iterable[Use], is_first: bool, now: float) -> Iterator[Use]:
-        """Keep what was told; yield what was used since the last time.
+    def apply_report(
+        self, uses: Iterable[Use], is_first: bool, now: float
+    ) -> Iterator[Use]:
+        """Apply a report; yield what was used since the last one.
 
-        The first telling is the beginning: others may have counted what was
-        used before it.
+        The first report is the starting point: other aggregators may have
+        counted what was used before it.
         """
-        self.heard_at = self._presumed_at = now
+        self.reported_at = self._extrapolated_at = now
         self.uses = {use.name: use for use in uses}
         for use in self.uses.values():
             before = self.counted.get(use.name, use.spent if is_first else 0.0)
             self.counted[use.name] = use.spent
             yield use._replace(spent=use.spent - before)
 
-    def presume(self, now: float) -> Iterator[Use]:
-        """Yield what is used meanwhile, where nothing was told for a while."""
-        if now - self.heard_at < NEWS_LIMIT:
+    def extrapolate(self, now: float) -> Iterator[Use]:
+        """Yield the assumed usage if there was no report for a while."""
+        if now - self.reported_at < STATE_MAX_AGE:
             return
-        seconds, self._presumed_at = now - self._presumed_at, now
+        seconds, self._extrapolated_at = now - self._extrapolated_at, now
         for use in self.uses.values():
             amount = use.demand * seconds
             self.counted[use.name] = self.counted.get(use.name, 0.0) + amount
             yield use._replace(spent=amount)
 
 
-class _Level:
-    """What is left of a burst; it rises with the rate."""
+class _TokenBucket:
+    """What is left of a burst; it rises at the rate."""
 
-    __slots__ = ("_advanced_at", "value")
+    __slots__ = ("_refilled_at", "value")
 
     def __init__(self, now: float) -> None:
-        self._advanced_at = now
+        self._refilled_at = now
         self.value = 0.0
 
-    def advance(self, rate: float, burst: float, now: float) -> None:
-        """Rise up to the burst."""
-        self.value = min(burst, self.value + rate * (now - self._advanced_at))
-        self._advanced_at = now
+    def refill(self, rate: float, burst: float, now: float) -> None:
+        """Refill up to the burst."""
+        self.value = min(burst, self.value + rate * (now - self._refilled_at))
+        self._refilled_at = now
 
 
 class FleetUse:
-    """The uses of all organisations, of members and of other aggregators."""
+    """The usage of all organisations, of members and of other aggregators."""
 
-    def __init__(self, limits: Limits) -> None:
-        self._limits = limits
+    def __init__(self, tolerance: AllowanceTolerance) -> None:
+        self._tolerance = tolerance
         self._allowances: Mapping[str, Allowance] = {}
-        self._members: dict[str, _Teller] = {}
-        self._others: dict[str, _Teller] = {}
+        self._members: dict[str, _Reporter] = {}
+        self._others: dict[str, _Reporter] = {}
         self._totals: dict[str, float] = {}
-        self._levels: dict[str, _Level] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
         self._instances = 0
-        self._is_whole = False
+        self._is_complete = False
 
     def set_allowances(self, allowances: Mapping[str, Allowance]) -> None:
-        """Go by other allowances; what was used stays counted."""
+        """Replace the allowances; counted usage is kept."""
         self._allowances = allowances
-        for known in (self._levels, self._totals):
+        for known in (self._buckets, self._totals):
             for name in set(known) - set(allowances):
                 del known[name]
 
-    # What is told.
+    # Reports.
 
-    def note_member(
+    def record_member(
         self, address: str, process: int, uses: Iterable[Use], now: float
     ) -> None:
-        """Take what a process at an address told of its own use."""
-        for use in self._note(self._members, address, process, uses, now):
+        """Apply the report of a process at an address on its own usage."""
+        for use in self._apply_report(self._members, address, process, uses, now):
             self._count(use, now)
 
-    def note_other(
+    def record_other(
         self,
         address: str,
         process: int,
@@ -133,27 +147,27 @@
         uses: Iterable[Use],
         now: float,
     ) -> None:
-        """Take what another aggregator told of its members' use."""
-        for use in self._note(self._others, address, process, uses, now):
+        """Apply another aggregator's report on the usage of its members."""
+        for use in self._apply_report(self._others, address, process, uses, now):
             self._spend(use, now)
         self._others[address].members = members
 
-    def _note(
+    def _apply_report(
         self,
-        tellers: dict[str, _Teller],
+        reporters: dict[str, _Reporter],
         address: str,
         process: int,
         uses: Iterable[Use],
         now: float,
     ) -> Iterator[Use]:
-        known = tellers.get(address)
+        known = reporters.get(address)
         is_first = known is None or known.process != process
         if is_first:
-            known = tellers[address] = _Teller(process, now)
-        return known.take(uses, is_first, now)
+            known = reporters[address] = _Reporter(process, now)
+        return known.apply_report(uses, is_first, now)
 
     def _count(self, use: Use, now: float) -> None:
-        """Count the use of a member, which other aggregators are told of."""
+        """Count the usage of a member, to report it to other aggregators."""
         self._totals[use.name] = self._totals.get(use.name, 0.0) + use.spent
         self._spend(use, now)
 
@@ -161,38 +175,38 @@
         allowance = self._allowances.get(use.name)
         if allowance is None:
             return
-        level = self._advance(use.name, allowance, now)
-        most_debt = allowance.rate * MOST_DEBT
-        level.value = max(-most_debt, level.value - use.spent)
+        bucket = self._refill(use.name, allowance, now)
+        max_debt = allowance.rate * MAX_DEBT
+        bucket.value = max(-max_debt, bucket.value - use.spent)
 
     def forget_member(self, address: str) -> None:
-        """Drop an instance that tells another aggregator from now on."""
+        """Drop an instance that now reports to another aggregator."""
         self._members.pop(address, None)
 
-    def keep_others(self, addresses: Iterable[str], now: float) -> None:
-        """Learn which other aggregators there are, and see who is heard."""
+    def update_others(self, addresses: Iterable[str], now: float) -> None:
+        """Set the other aggregators, and check which of them report."""
         expected = set(addresses)
         for address in set(self._others) - expected:
             del self._others[address]
-        self._presume(now)
+        self._extrapolate(now)
         others = self._others.values()
-        heard = sum(now - one.heard_at < NEWS_LIMIT for one in others)
-        self._is_whole = heard == len(expected)
-        if self._is_whole:
+        reporting = sum(now - one.reported_at < STATE_MAX_AGE for one in others)
+        self._is_complete = reporting == len(expected)
+        if self._is_complete:
             self._instances = len(self._members) + sum(one.members for one in others)
 
-    def _presume(self, now: float) -> None:
-        """Count on what silent members use, and forget them in the end."""
+    def _extrapolate(self, now: float) -> None:
+        """Count the assumed usage of inactive members; drop expired ones."""
         for address, member in list(self._members.items()):
-            for use in member.presume(now):
+            for use in member.extrapolate(now):
                 self._count(use, now)
-            if now - member.heard_at > self._limits.window:
+            if now - member.reported_at > self._tolerance.window:
                 del self._members[address]
 
-    # What is made of it.
+    # Results.
 
     def count_members(self) -> int:
-        """Return how many instances tell their use here."""
+        """Return the number of instances that report their usage here."""
         return len(self._members)
 
     def list_totals(self) -> list[Use]:
@@ -205,60 +219,61 @@
         ]
 
     def describe(self, address: str, now: float) -> list[FleetState]:
-        """Return what an instance has to know.
+        """Return the states that an instance needs.
 
-        That is what it uses itself, and what is not free.
+        These are the organisations that it uses itself, and those that are not
+        free.
         """
         member = self._members.get(address)
-        demands = self._measure_demands()
-        part = self._measure_part()
+        demands = self._compute_demands()
+        fraction = self._compute_fraction()
         found = []
         for name, allowance in self._allowances.items():
-            level = self._advance(name, allowance, now)
-            least = FREE_PART * allowance.burst * part
-            is_free = part > 0 and level.value >= least
+            bucket = self._refill(name, allowance, now)
+            min_level = FREE_FRACTION * allowance.burst * fraction
+            is_free = fraction > 0 and bucket.value >= min_level
             is_used = member is not None and name in member.uses
             if is_free and not is_used:
                 continue
             demand = demands.get(name, 0.0)
             counted = member.counted.get(name, 0.0) if member else 0.0
-            state = FleetState(name, is_free, part, demand, level.value, counted)
+            state = FleetState(name, is_free, fraction, demand, bucket.value, counted)
             found.append(state)
         return found
 
-    def _advance(self, name: str, allowance: Allowance, now: float) -> _Level:
+    def _refill(self, name: str, allowance: Allowance, now: float) -> _TokenBucket:
         """Return what is left of an allowance now."""
-        level = self._levels.get(name)
-        if level is None:
-            level = self._levels[name] = _Level(now)
-        part = self._measure_part()
-        burst = allowance.burst + self._limits.lump
-        level.advance(allowance.rate * part, burst * part, now)
-        return level
-
-    def _measure_part(self) -> float:
-        """Return the part of allowances that this aggregator speaks for.
-
-        Where others are not heard, that is its members' part of the
-        instances that there were when all were.
+        bucket = self._buckets.get(name)
+        if bucket is None:
+            bucket = self._buckets[name] = _TokenBucket(now)
+        fraction = self._compute_fraction()
+        burst = allowance.burst + self._tolerance.extra_burst
+        bucket.refill(allowance.rate * fraction, burst * fraction, now)
+        return bucket
+
+    def _compute_fraction(self) -> float:
+        """Return the fraction of allowances that this aggregator speaks for.
+
+        If other aggregators do not report, this is its members' fraction of
+        the number of instances at the time when all did.
         """
-        if self._is_whole:
-            return self._limits.factor
+        if self._is_complete:
+            return self._tolerance.factor
         if not self._instances:
             return 0.0
         return min(1.0, len(self._members) / self._instances)
 
-    def _measure_demands(self) -> dict[str, float]:
-        """Return what is asked for, a second, where this one speaks for."""
+    def _compute_demands(self) -> dict[str, float]:
+        """Return the demand a second that this aggregator speaks for."""
         demands: dict[str, float] = {}
         self._add_demands(self._members, demands)
-        if self._is_whole:
+        if self._is_complete:
             self._add_demands(self._others, demands)
         return demands
 
     def _add_demands(
-        self, tellers: Mapping[str, _Teller], demands: dict[str, float]
+        self, reporters: Mapping[str, _Reporter], demands: dict[str, float]
     ) -> None:
-        for teller in tellers.values():
-            for use in teller.uses.values():
+        for reporter in reporters.values():
+            for use in reporter.uses.values():
                 demands[use.name] = demands.get(use.name, 0.0) + use.demand
