--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -1,4 +1,8 @@
-"""Know which endpoints name limits, by their answers and by what is told."""
+"""Track the rate limits that endpoints announce.
+
+They become known from answers to this instance's calls, from the owner of an
+endpoint's zone and from the aggregator.
+"""
 
 import random
 from collections.abc import Iterable
@@ -15,24 +19,27 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.statements import Statement
 
-# Seconds of sends before a limit is known that count as sends without a grant.
+# Seconds before a limit became known whose sends count as sends without a
+# permit.
 RECENT = 1.0
-# Seconds behind the last sign of a limit at which news that lack it end it.
+# Seconds after the last information on a limit from which on an update of the
+# aggregator that lacks the limit ends it.
 NEWS_GRACE = 1.0
-# Seconds behind a limit's end in which older news of it are passed over, and
-# behind the last naming here in which news of its end are: the owner may not
-# have heard of it.
+# Seconds after a limit's end in which older updates that still contain it are
+# ignored, and after the last announcement received here in which updates of
+# its end are ignored: the owner may not have received that announcement yet.
 END_GRACE = 0.6
-# Seconds behind the last naming of a limit from which on the endpoint is tried
-# as any other: nobody else would learn that the limit ended.
+# Seconds after the last announcement of a limit from which on the endpoint is
+# chosen like any other: without calls no instance would find out that the
+# limit ended.
 TRIAL_PERIOD = 0.7
-LOCAL = -1  # In place of a fence: what this process granted itself.
+LOCAL = -1  # Fence of the permits that this process granted to itself.
 
 log = PartLog("limits")
 
 
 class Heard(StrEnum):
-    """How this process heard of a limit."""
+    """Where this process has a limit from; the values are logged."""
 
     ANSWER = "answer"
     OWNER = "owner"
@@ -40,10 +47,10 @@
 
 
 class ToldLimit(NamedTuple):
-    """A limit as an owner tells it, in calls a second, or None for its end.
+    """A limit as an owner reports it, in calls a second, or None for its end.
 
-    ``fence`` and ``serial`` are of the basis on which sends are granted; the
-    endpoint named it last ``age`` seconds ago.
+    ``fence`` and ``serial`` are of the basis on which permits are granted; the
+    endpoint last announced the limit ``age`` seconds ago.
     """
 
     endpoint: str
@@ -54,9 +61,10 @@
 
 
 class Answered(NamedTuple):
-    """What an answer to a send on ``basis``, made ``age`` s before, says.
+    """An endpoint's answer to a send that was made ``age`` seconds ago.
 
-    One that ``has_run`` is the endpoint's own, of a call that it ran.
+    The send was permitted on ``basis``. ``has_run`` means that the endpoint
+    ran the call, so that the answer is its own.
     """
 
     status: int
@@ -67,7 +75,7 @@
 
 
 class Naming(NamedTuple):
-    """What an endpoint itself said in an answer to a send on ``basis``."""
+    """The limit in an endpoint's answer to a send on ``basis``, or None."""
 
     limit: float | None
     basis: Basis
@@ -76,11 +84,12 @@
 class KnownLimit:
     """What this process knows of one endpoint's limit.
 
-    The endpoint named it last at ``named_at``, and in an answer to this
-    process at ``answered_at``. No send is asked for before ``ask_at``, and
-    none is free before ``free_at``; ``told_number`` is of the first telling
-    with what the endpoint named here last; ``spent`` counts the sends without
-    a grant.
+    The endpoint last announced it at ``named_at``, and in an answer to this
+    process at ``answered_at``; ``heard_at`` is the time of the last
+    information from any source. No permit is requested before ``ask_at``, and
+    none is available before ``free_at``. ``told_number`` is the number of the
+    first report to the owner with the last announcement received here.
+    ``spent`` counts the sends without a permit.
     """
 
     __slots__ = (
@@ -112,7 +121,7 @@
 
 @parts.register("limits")
 class EndpointLimits:
-    """The limits of endpoints, as this process goes by them."""
+    """The rate limits of endpoints that this process observes."""
 
     name = "limits"
     needs = ("follower", "measures")
@@ -123,144 +132,148 @@
         self._follower = kernel.get(Follower)
         self._measures = kernel.get(Measures)
         self._known: dict[str, KnownLimit] = {}
-        self._ended: dict[str, float] = {}
-        self._rates: dict[str, Rate] = {}
-        self._follower.on_directory.append(self._forget_gone)
+        self._ended_at: dict[str, float] = {}
+        self._send_rates: dict[str, Rate] = {}
+        self._follower.on_directory.append(self._remove_gone)
 
     def start(self) -> None:
-        """Do nothing; answers come later."""
+        """Do nothing: limits become known as answers arrive."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing: there is nothing to close."""
 
-    # What is asked.
+    # Queries.
 
     def find(self, endpoint: str) -> KnownLimit | None:
-        """Return what is known of an endpoint that names a limit, or None."""
+        """Return the limit of an endpoint, or None if it has none."""
         return self._known.get(endpoint)
 
     def is_full(self, endpoint: str) -> bool:
-        """Tell whether no send can be had at an endpoint for the moment."""
+        """Return whether an endpoint's limit is used up at the moment."""
         known = self._known.get(endpoint)
         return known is not None and self._clock.now() < known.ask_at
 
     def is_spared(self, endpoint: str) -> bool:
-        """Tell whether an endpoint is in need, so that others go first."""
+        """Return whether to prefer other endpoints: this one has a limit."""
         known = self._known.get(endpoint)
         return known is not None and self._clock.now() - known.named_at < TRIAL_PERIOD
 
     def measure_wait(self, endpoint: str) -> float:
-        """Return the seconds until a send may be free at an endpoint."""
+        """Return the seconds until a permit may be available."""
         known = self._known.get(endpoint)
         return max(0.0, known.free_at - self._clock.now()) if known else 0.0
 
     def list_known(self) -> dict[str, KnownLimit]:
-        """Return the endpoints that name limits."""
+        """Return the known limits by endpoint."""
         return self._known
 
-    # What is sent and answered.
+    # Sends and their answers.
 
     def note_send(self, endpoint: Endpoint, is_granted: bool) -> None:
-        """Count a send; one without a grant is told to the owner."""
+        """Count a send; the owner is told of those without a permit."""
         now = self._clock.now()
-        rate = self._rates.get(endpoint.id)
+        rate = self._send_rates.get(endpoint.id)
         if rate is None:
-            rate = self._rates[endpoint.id] = Rate(RECENT, now)
+            rate = self._send_rates[endpoint.id] = Rate(RECENT, now)
         rate.note(1.0, now)
         known = self._known.get(endpoint.id)
         if known is not None and not is_granted:
             known.spent += 1
 
     def note_answer(self, endpoint: Endpoint, answer: Answered) -> Naming | None:
-        """Learn from an answer; return what the owner should hear of it."""
+        """Update the limit from an answer; return what to tell the owner."""
         if answer.statement.has_fault(InvalidLimit):
             return None
         limit = adapt(answer.statement.limit)
         if limit is None:
-            return self._note_unnamed(endpoint, answer)
+            return self._record_no_limit(endpoint, answer)
         now = self._clock.now()
         known = self._known.get(endpoint.id)
         if known is None:
-            known = self._begin(endpoint.id, limit, Heard.ANSWER, answer)
+            known = self._add(endpoint.id, limit, Heard.ANSWER, answer)
         elif limit < known.limit:
             self._change(endpoint.id, known, limit, Heard.ANSWER, answer)
         known.heard_at = known.named_at = known.answered_at = now
         known.namings += 1
         return Naming(limit, answer.basis)
 
-    def _note_unnamed(self, endpoint: Endpoint, answer: Answered) -> Naming | None:
-        """Learn that an answer names no limit.
+    def _record_no_limit(self, endpoint: Endpoint, answer: Answered) -> Naming | None:
+        """Handle an answer without a limit.
 
-        Only one that ran a call says that there is none: a refusal may be made
-        by another part of the endpoint, or by one that has its address now.
+        Only an answer to a call that ran says that there is no limit: a
+        refusal may come from another component of the endpoint, or from
+        another endpoint that has its address now.
         """
         known = self._known.get(endpoint.id)
         if known is None or not answer.has_run:
             return None
         if answer.basis == Basis(LOCAL, known.namings):
-            self._end(endpoint.id, Heard.ANSWER, answer)
+            self._remove(endpoint.id, Heard.ANSWER, answer)
         return Naming(None, answer.basis)
 
-    # What is told.
+    # Updates from the owner and the aggregator.
 
     def note_owner(self, told: ToldLimit | None, endpoint: str, number: int) -> None:
-        """Take the owner's answer to what was told as ``number``.
+        """Apply the owner's reply to the report or request ``number``.
 
-        One to what was told before the endpoint named something here, again or
-        for the first time, can only lower a limit.
+        A reply to one that was sent before the last announcement received here
+        was reported can only lower a limit.
         """
         known = self._known.get(endpoint)
         is_older = known is not None and number < known.told_number
         if told is not None:
-            self._take(told, Heard.OWNER, is_older)
+            self._apply(told, Heard.OWNER, is_older)
         elif known is not None and not is_older:
-            self._end(endpoint, Heard.OWNER, None)
+            self._remove(endpoint, Heard.OWNER, None)
 
     def note_news(self, limits: Iterable[ToldLimit], asked_at: float) -> None:
-        """Take all limits as an aggregator knows them."""
-        told = {one.endpoint: one for one in limits}
-        for endpoint, one in told.items():
-            if one.limit is None:
-                self._take_end(endpoint, asked_at)
-            elif asked_at > self._ended.get(endpoint, float("-inf")) + END_GRACE:
-                self._take(one, Heard.NEWS, True)
+        """Apply all limits that an aggregator knows.
+
+        ``asked_at`` is when this process sent the message that it answers.
+        """
+        told = {limit.endpoint: limit for limit in limits}
+        for endpoint, limit in told.items():
+            if limit.limit is None:
+                self._apply_end(endpoint, asked_at)
+            elif asked_at > self._ended_at.get(endpoint, float("-inf")) + END_GRACE:
+                self._apply(limit, Heard.NEWS, True)
         for endpoint, known in list(self._known.items()):
             is_old = asked_at - known.heard_at > NEWS_GRACE
             if endpoint not in told and is_old:
-                self._end(endpoint, Heard.NEWS, None)
+                self._remove(endpoint, Heard.NEWS, None)
 
-    def _take_end(self, endpoint: str, asked_at: float) -> None:
+    def _apply_end(self, endpoint: str, asked_at: float) -> None:
         known = self._known.get(endpoint)
         if known is not None and asked_at > known.answered_at + END_GRACE:
-            self._end(endpoint, Heard.NEWS, None)
+            self._remove(endpoint, Heard.NEWS, None)
 
-    def _take(self, told: ToldLimit, heard: Heard, can_only_lower: bool) -> None:
+    def _apply(self, told: ToldLimit, source: Heard, can_only_lower: bool) -> None:
         now = self._clock.now()
         known = self._known.get(told.endpoint)
         if known is None:
             if self._follower.directory.get(told.endpoint) is None:
                 return
-            known = self._begin(told.endpoint, told.limit, heard, None)
+            known = self._add(told.endpoint, told.limit, source, None)
             known.named_at = now - told.age
         is_lower = told.limit < known.limit
         is_raised = told.limit > known.limit and not can_only_lower
         if is_lower or is_raised:
-            self._change(told.endpoint, known, told.limit, heard, None)
+            self._change(told.endpoint, known, told.limit, source, None)
         known.basis = max(known.basis, Basis(told.fence, told.serial))
         known.heard_at = now
         known.named_at = max(known.named_at, now - told.age)
 
-    # What comes of it.
+    # Changes of limits.
 
-    def _begin(
-        self, endpoint: str, limit: float, heard: Heard, answer: Answered | None
+    def _add(
+        self, endpoint: str, limit: float, source: Heard, answer: Answered | None
     ) -> KnownLimit:
         now = self._clock.now()
-        rate = self._rates.get(endpoint)
+        rate = self._send_rates.get(endpoint)
         spent = round(rate.measure(now) * RECENT) if rate else 0
         floor = Floor(self._rng.random(), now)
         known = self._known[endpoint] = KnownLimit(limit, spent, floor, now)
-        self._log(endpoint, limit, None, heard, answer)
+        self._log_change(endpoint, limit, None, source, answer)
         return known
 
     def _change(
@@ -268,26 +281,26 @@
         endpoint: str,
         known: KnownLimit,
         limit: float,
-        heard: Heard,
+        source: Heard,
         answer: Answered | None,
     ) -> None:
         before, known.limit = known.limit, limit
-        self._log(endpoint, limit, before, heard, answer)
+        self._log_change(endpoint, limit, before, source, answer)
 
-    def _end(self, endpoint: str, heard: Heard, answer: Answered | None) -> None:
+    def _remove(self, endpoint: str, source: Heard, answer: Answered | None) -> None:
         known = self._known.pop(endpoint)
-        self._ended[endpoint] = self._clock.now()
-        self._log(endpoint, None, known.limit, heard, answer)
+        self._ended_at[endpoint] = self._clock.now()
+        self._log_change(endpoint, None, known.limit, source, answer)
 
-    def _log(
+    def _log_change(
         self,
         endpoint: str,
         limit: float | None,
         before: float | None,
-        heard: Heard,
+        source: Heard,
         answer: Answered | None,
     ) -> None:
-        """Tell that a limit became known, changed, or ended."""
+        """Log that a limit became known, changed or ended."""
         known = self._follower.directory.get(endpoint)
         service = known.service if known else None
         log.event(
@@ -296,13 +309,13 @@
             service=service,
             limit=limit,
             before=before,
-            heard=heard.value,
+            heard=source.value,
             status=answer.status if answer else None,
             age=round(answer.age, 3) if answer else None,
         )
-        self._measure(service)
+        self._update_metrics(service)
 
-    def _measure(self, service: str | None) -> None:
+    def _update_metrics(self, service: str | None) -> None:
         limits = [
             known.limit
             for name, known in self._known.items()
@@ -316,9 +329,12 @@
         found = self._follower.directory.get(endpoint)
         return found.service if found else None
 
-    def _forget_gone(self) -> None:
-        """Forget endpoints that are gone; their next run named nothing yet."""
-        there = {endpoint.id for endpoint in self._follower.directory.list_all()}
-        for known in (self._known, self._ended, self._rates):
-            for endpoint in set(known) - there:
-                del known[endpoint]
+    def _remove_gone(self) -> None:
+        """Remove endpoints that are gone.
+
+        The next run of such an endpoint has not announced a limit yet.
+        """
+        listed = {endpoint.id for endpoint in self._follower.directory.list_all()}
+        for state in (self._known, self._ended_at, self._send_rates):
+            for endpoint in set(state) - listed:
+                del state[endpoint]
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -1,7 +1,9 @@
-"""Ask the owner of an endpoint's zone for sends, and give them out as one.
+"""Request permits for rate-limited endpoints, and grant them as an owner.
 
-An instance that owns no zone asks through its aggregator, so that a limit
-opens no connection between instances that have none.
+A permit lets an instance send one call to an endpoint. The owner of the
+endpoint's zone grants them. An instance that owns no zone sends its requests
+through its aggregator, so that a limit opens no new connections between
+instances.
 """
 
 import itertools
@@ -28,23 +30,24 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import SendAsk, SendGrant
 
-ASK_TIMEOUT = 0.08  # Seconds until an ask without an answer is sent again.
-MOST_ASKS = 3  # How often an ask is sent.
-# Seconds for which an owner that gave no answer is not asked.
+ASK_TIMEOUT = 0.08  # Seconds until an unanswered request is sent again.
+MOST_ASKS = 3  # How often a request is sent.
+# Seconds in which no request is sent to an owner that did not answer.
 UNHEARD_PAUSE = 0.6
-# Seconds at least between two asks at an endpoint that has none free.
+# Minimum seconds between two requests for an endpoint without free permits.
 LEAST_PAUSE = 0.05
-TELL_GAP = 0.2  # Seconds between tellings that a limit still stands.
-NO_SEND = -1.0  # In place of a patience: tells, and asks for no send.
+TELL_GAP = 0.2  # Seconds between two reports that a limit still stands.
+# Patience of a message that reports a limit, and requests no permit.
+NO_SEND = -1.0
 
 log = PartLog("limits")
 
 
 class Outcome(NamedTuple):
-    """Whom an ask tells what came of it.
+    """Callbacks with the result of a permit request.
 
-    ``on_granted`` is called with the basis of the send, ``on_denied`` with the
-    seconds until one may be free.
+    ``on_granted`` is called with the basis of the permit, ``on_denied`` with
+    the seconds until one may be available.
     """
 
     on_granted: Callable[[Basis], None]
@@ -52,7 +55,7 @@
 
 
 class SendWait:
-    """A call that waits for a send at an endpoint; ``close`` takes it back."""
+    """A call that waits for a permit; ``close`` withdraws the request."""
 
     def __init__(self, endpoint: Endpoint, patience: float, now: float) -> None:
         self.endpoint = endpoint
@@ -64,16 +67,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the call still waits."""
+        """Return whether the call still waits."""
         return self.outcome is not None
 
     def close(self) -> None:
-        """Wait no more; what is granted is another call's."""
+        """Stop waiting; a permit that is granted later serves another call."""
         self.outcome = None
 
 
-class _Granted(NamedTuple):
-    """A send that may begin between two times."""
+class _Permit(NamedTuple):
+    """A permit to begin a send between two times."""
 
     begins_at: float
     expires_at: float
@@ -82,7 +85,7 @@
 
 @parts.register("permits")
 class Permits:
-    """The sends at endpoints that name limits: asked for, and given out."""
+    """The permits of rate-limited endpoints: requested here, and granted."""
 
     name = "permits"
     needs = (
@@ -106,38 +109,38 @@
         self._limits = kernel.get(EndpointLimits)
         self._measures = kernel.get(Measures)
         self._subscription = kernel.get(Subscription)
-        self._numbers = itertools.count(1)
-        self._waits: dict[int, SendWait] = {}
-        self._spare: dict[str, list[_Granted]] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending: dict[int, SendWait] = {}
+        self._unused: dict[str, list[_Permit]] = {}
         self._ledgers: dict[str, SendLedger] = {}
-        self._follower.on_directory.append(self._forget_gone)
-        self._leases.on_change.append(self._check_zone)
-        self._transport.subscribe((SendAsk,), self._take_ask)
-        self._transport.subscribe((SendGrant,), self._take_grant)
+        self._follower.on_directory.append(self._remove_gone)
+        self._leases.on_change.append(self._reset_ledgers)
+        self._transport.subscribe((SendAsk,), self._handle_request)
+        self._transport.subscribe((SendGrant,), self._handle_grant)
 
     def start(self) -> None:
-        """Do nothing; calls come later."""
+        """Do nothing: requests are sent as calls arrive."""
 
     def close(self) -> None:
-        """Ask no more."""
-        for wait in self._waits.values():
+        """Drop the pending requests."""
+        for wait in self._pending.values():
             wait.timer.close()
-        self._waits.clear()
+        self._pending.clear()
 
-    # As an instance that sends.
+    # As the instance that sends calls.
 
     def ask(
         self, endpoint: Endpoint, patience: float, outcome: Outcome
     ) -> SendWait | None:
-        """Ask for a send within ``patience`` seconds.
+        """Request a permit that is valid within ``patience`` seconds.
 
-        None means that the outcome is told already.
+        None means that a callback of ``outcome`` was called already.
         """
         known = self._limits.find(endpoint.id)
-        granted = self._take_spare(endpoint.id)
+        permit = self._pop_unused(endpoint.id)
         now = self._kernel.clock.now()
-        if known is None or granted is not None:
-            basis = granted.basis if granted else Basis(LOCAL, 0)
+        if known is None or permit is not None:
+            basis = permit.basis if permit else Basis(LOCAL, 0)
             self._count(endpoint, "granted")
             outcome.on_granted(basis)
             return None
@@ -146,54 +149,56 @@
             return None
         wait = SendWait(endpoint, patience, now)
         wait.outcome = outcome
-        self._send_ask(next(self._numbers), wait)
+        self._send_request(next(self._request_numbers), wait)
         return wait
 
     def tell(self, endpoint: Endpoint, naming: Naming) -> None:
-        """Tell the owner what an endpoint named in an answer."""
+        """Report to the owner what an endpoint announced in an answer."""
         known = self._limits.find(endpoint.id)
         now = self._kernel.clock.now()
         if known is None or naming.limit is not None:
             if known is None or now - known.told_at < TELL_GAP:
                 return
             known.told_at = now
-            known.told_number = number = next(self._numbers)
+            known.told_number = number = next(self._request_numbers)
         else:
             if naming.basis != known.basis:
                 return
-            number = next(self._numbers)
-        message = self._make_ask(number, endpoint, NO_SEND)
+            number = next(self._request_numbers)
+        message = self._make_request(number, endpoint, NO_SEND)
         message = message._replace(
             limit=naming.limit, is_named=True, basis=list(naming.basis)
         )
-        self._pass_on(message)
+        self._forward(message)
 
-    def _take_spare(self, endpoint: str) -> _Granted | None:
-        """Return a send that was granted and not used, if one is in time."""
+    def _pop_unused(self, endpoint: str) -> _Permit | None:
+        """Return a valid permit that no call has used, or None."""
         now = self._kernel.clock.now()
-        spare = [one for one in self._spare.pop(endpoint, ()) if now < one.expires_at]
-        found = next((one for one in spare if one.begins_at <= now), None)
+        unused = [one for one in self._unused.pop(endpoint, ()) if now < one.expires_at]
+        found = next((permit for permit in unused if permit.begins_at <= now), None)
         if found is not None:
-            spare.remove(found)
-        if spare:
-            self._spare[endpoint] = spare
+            unused.remove(found)
+        if unused:
+            self._unused[endpoint] = unused
         return found
 
-    def _forget_gone(self) -> None:
-        """Drop the sends at endpoints that are gone."""
-        for endpoint in list(self._spare):
+    def _remove_gone(self) -> None:
+        """Drop the permits of endpoints that are gone."""
+        for endpoint in list(self._unused):
             if self._follower.directory.get(endpoint) is None:
-                del self._spare[endpoint]
+                del self._unused[endpoint]
 
-    def _send_ask(self, number: int, wait: SendWait) -> None:
-        self._waits[number] = wait
+    def _send_request(self, number: int, wait: SendWait) -> None:
+        self._pending[number] = wait
         wait.asks += 1
         wait.timer = self._kernel.loop.call_later(
-            ASK_TIMEOUT, lambda: self._on_silent(number)
+            ASK_TIMEOUT, lambda: self._on_timeout(number)
         )
-        self._pass_on(self._make_ask(number, wait.endpoint, wait.patience))
+        self._forward(self._make_request(number, wait.endpoint, wait.patience))
 
-    def _make_ask(self, number: int, endpoint: Endpoint, patience: float) -> SendAsk:
+    def _make_request(
+        self, number: int, endpoint: Endpoint, patience: float
+    ) -> SendAsk:
         known = self._limits.find(endpoint.id)
         return SendAsk(
             self._peer,
@@ -209,25 +214,28 @@
             known.spent if known else 0,
         )
 
-    def _pass_on(self, message: SendAsk) -> None:
-        """Send an ask on its way to the owner of the endpoint's zone."""
+    def _forward(self, message: SendAsk) -> None:
+        """Send a request towards the owner of the endpoint's zone."""
         if self._leases.list_held():
-            self._take_ask(self._peer, message)
+            self._handle_request(self._peer, message)
         elif self._subscription.source:
             self._transport.send(self._subscription.source, message)
 
-    def _on_silent(self, number: int) -> None:
-        """Ask again, or go on without an owner."""
-        wait = self._waits.pop(number, None)
+    def _on_timeout(self, number: int) -> None:
+        """Send the request again, or go on without an owner."""
+        wait = self._pending.pop(number, None)
         if wait is None or not wait.is_open:
             return
         if wait.asks < MOST_ASKS:
-            self._send_ask(number, wait)
+            self._send_request(number, wait)
         else:
-            self._go_alone(wait)
+            self._decide_without_owner(wait)
 
-    def _go_alone(self, wait: SendWait) -> None:
-        """Send by this process's part of what is left to those not heard."""
+    def _decide_without_owner(self, wait: SendWait) -> None:
+        """Decide within the minimum rate of instances without an owner.
+
+        This process has an equal share of it.
+        """
         endpoint, outcome = wait.endpoint, wait.outcome
         wait.close()
         known = self._limits.find(endpoint.id)
@@ -244,58 +252,56 @@
         self._count(endpoint, "unheard")
         outcome.on_denied(UNHEARD_PAUSE)
 
-    def _take_grant(self, sender: str, message: SendGrant) -> None:
-        """Take an owner's answer, or pass it on to who asked."""
+    def _handle_grant(self, sender: str, message: SendGrant) -> None:
+        """Handle an owner's reply, or forward it to the requester."""
         if message.address != self._peer:
             self._transport.send(message.address, message)
             return
-        self._limits.note_owner(_read_told(message), message.endpoint, message.number)
-        wait = self._waits.pop(message.number, None)
+        self._limits.note_owner(_read_limit(message), message.endpoint, message.number)
+        wait = self._pending.pop(message.number, None)
         if wait is not None:
             wait.timer.close()
         if message.patience == NO_SEND:
             return
         if message.limit is None:
-            self._free(wait)
+            self._grant_without_limit(wait)
         elif message.is_given:
-            self._take_given(wait, message)
+            self._accept_permit(wait, message)
         else:
             self._deny(wait, message)
 
-    def _free(self, wait: SendWait | None) -> None:
-        """Let a call go that needs no grant, as the limit has ended."""
+    def _grant_without_limit(self, wait: SendWait | None) -> None:
+        """Let a call go without a permit, as the limit has ended."""
         if wait is not None and wait.is_open:
             outcome = wait.outcome
             wait.close()
             outcome.on_granted(Basis(LOCAL, 0))
 
-    def _take_given(self, wait: SendWait | None, message: SendGrant) -> None:
-        """Use a send when it begins, or keep it for another call.
+    def _accept_permit(self, wait: SendWait | None, message: SendGrant) -> None:
+        """Use a permit once it is valid, or keep it for another call.
 
-        An ask that was sent twice is answered twice with the same send.
+        A request that was sent twice is answered twice with the same permit.
         """
         if wait is None:
             return
         now = self._kernel.clock.now()
-        granted = _Granted(
+        permit = _Permit(
             now + message.delay,
             wait.asked_at + message.delay + GRANT_LIFE,
             Basis(*message.basis),
         )
         if not wait.is_open:
-            self._spare.setdefault(message.endpoint, []).append(granted)
+            self._unused.setdefault(message.endpoint, []).append(permit)
         elif message.delay <= 0.0:
-            self._begin(wait, granted)
+            self._use(wait, permit)
         else:
-            self._kernel.loop.call_later(
-                message.delay, lambda: self._begin(wait, granted)
-            )
+            self._kernel.loop.call_later(message.delay, lambda: self._use(wait, permit))
 
-    def _begin(self, wait: SendWait, granted: _Granted) -> None:
+    def _use(self, wait: SendWait, permit: _Permit) -> None:
         now = self._kernel.clock.now()
-        if now >= granted.expires_at:
-            # This process was held up: behind others' sends it would be one
-            # too many.
+        if now >= permit.expires_at:
+            # This process was delayed: after the sends of other instances,
+            # this one would exceed the limit.
             self._count(wait.endpoint, "expired")
             if wait.is_open:
                 outcome = wait.outcome
@@ -303,12 +309,12 @@
                 outcome.on_denied(0.0)
             return
         if not wait.is_open:
-            self._spare.setdefault(wait.endpoint.id, []).append(granted)
+            self._unused.setdefault(wait.endpoint.id, []).append(permit)
             return
         outcome = wait.outcome
         wait.close()
         self._count(wait.endpoint, "granted")
-        outcome.on_granted(granted.basis)
+        outcome.on_granted(permit.basis)
 
     def _deny(self, wait: SendWait | None, message: SendGrant) -> None:
         known = self._limits.find(message.endpoint)
@@ -328,20 +334,20 @@
 
     # As an aggregator or an owner.
 
-    def _take_ask(self, sender: str, message: SendAsk) -> None:
-        """Answer an ask for an own zone's endpoint, or pass it on."""
+    def _handle_request(self, sender: str, message: SendAsk) -> None:
+        """Answer a request for a zone owned here, or forward it."""
         if message.zone in self._leases.list_held():
             grant = self._answer(message)
             self._reply(message.via or message.address, grant)
             return
         owner = self._leases.find_owner(message.zone)
-        is_on_way = bool(message.via) or not self._leases.list_held()
-        if owner is not None and owner != self._peer and not is_on_way:
+        cannot_forward = bool(message.via) or not self._leases.list_held()
+        if owner is not None and owner != self._peer and not cannot_forward:
             self._transport.send(owner, message._replace(via=self._peer))
 
     def _reply(self, address: str, grant: SendGrant) -> None:
         if address == self._peer:
-            self._take_grant(self._peer, grant)
+            self._handle_grant(self._peer, grant)
         else:
             self._transport.send(address, grant)
 
@@ -370,22 +376,22 @@
         if ledger.limit is None or message.patience == NO_SEND:
             return grant
         lease = self._leases.get(message.zone)
-        part = GIVEN_PART if lease.may_order(now) else UNSURE_PART
-        given = ledger.give(
-            message.process, message.number, message.patience, part, now
+        fraction = GIVEN_PART if lease.may_order(now) else UNSURE_PART
+        granted = ledger.give(
+            message.process, message.number, message.patience, fraction, now
         )
-        return grant._replace(is_given=given.is_given, delay=round(given.delay, 4))
+        return grant._replace(is_given=granted.is_given, delay=round(granted.delay, 4))
 
     def _find_ledger(self, message: SendAsk, now: float) -> SendLedger | None:
-        """Return an endpoint's ledger; a limit that is told opens one."""
+        """Return an endpoint's ledger; a reported limit creates one."""
         ledger = self._ledgers.get(message.endpoint)
         if ledger is None and message.limit is not None:
             fence = self._leases.get(message.zone).fence
             ledger = self._ledgers[message.endpoint] = SendLedger(fence, now)
         return ledger
 
-    def _check_zone(self, zone: str) -> None:
-        """Begin anew with each term, from what this process knows itself."""
+    def _reset_ledgers(self, zone: str) -> None:
+        """Rebuild a zone's ledgers at a new term, from the local limits."""
         for endpoint in list(self._ledgers):
             found = self._follower.directory.get(endpoint)
             if found is None or found.zone == zone:
@@ -401,9 +407,9 @@
                 self._ledgers[endpoint] = ledger
 
     def list_limits(self) -> list[ToldLimit]:
-        """Return the limits of the endpoints of zones that are owned here.
+        """Return the limits of endpoints in the zones that are owned here.
 
-        Those that ended a while ago are among them.
+        Recently ended ones are included, without a limit.
         """
         now = self._kernel.clock.now()
         for endpoint, ledger in list(self._ledgers.items()):
@@ -437,7 +443,7 @@
     )
 
 
-def _read_told(message: SendGrant) -> ToldLimit | None:
+def _read_limit(message: SendGrant) -> ToldLimit | None:
     if message.limit is None:
         return None
     return ToldLimit(message.endpoint, message.limit, *message.basis, message.age)
