--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -1,7 +1,8 @@
-"""Know what endpoints say of themselves in the heads of their answers.
+"""Track the availability that endpoints advertise in the heads of answers.
 
-An endpoint that leaves is so for all: the directory keeps it, and aggregators
-relay it with the list. A rest is wanted from this instance alone.
+A drain notice concerns all instances: the directory keeps it, and aggregators
+relay it with the list of endpoints. A requested back-off concerns only the
+instance that received it.
 """
 
 import random
@@ -21,18 +22,18 @@
 from roadlift.serving.messages import LeavingNews
 from roadlift.serving.statements import Statement
 
-# Names of unknown headers that a process tells of: callers' applications may
-# make up any number.
+# Maximum number of unknown header names that a process logs: the callers'
+# applications may invent any number of names.
 MOST_UNKNOWN = 32
-TELL_GAP = 1.0  # Seconds between tellings that an endpoint leaves.
-LOG_GAP = 1.0  # Seconds between lines on the rests of one endpoint.
+TELL_GAP = 1.0  # Seconds between two drain notices about one endpoint.
+LOG_GAP = 1.0  # Seconds between two log lines on back-offs of one endpoint.
 
 log = PartLog("standings")
 
 
 @parts.register("standings")
 class Standings:
-    """The endpoints that leave or want rest, as this process knows them."""
+    """The endpoints that are draining or requested a back-off."""
 
     name = "standings"
     needs = ("follower", "leases", "measures", "platform", "subscription", "transport")
@@ -41,7 +42,7 @@
         self._clock = kernel.clock
         self._loop = kernel.loop
         self._peer = kernel.settings.peer
-        self._drain = kernel.settings.endpoint_drain_ms / 1000.0
+        self._drain_time = kernel.settings.endpoint_drain_ms / 1000.0
         self._rng = random.Random(kernel.stamp)
         self._format = kernel.get(Platform).adapter.calls
         self._follower = kernel.get(Follower)
@@ -50,56 +51,61 @@
         self._transport = kernel.get(Transport)
         self._measures = kernel.get(Measures)
         self._known: dict[str, Standing] = {}
-        self._told_at: dict[str, float] = {}
+        self._notified_at: dict[str, float] = {}
         self._logged_at: dict[str, float] = {}
-        self._faulty: set[tuple[str, str]] = set()
-        self._unknown: set[str] = set()
-        self._follower.on_directory.append(self._take_directory)
-        self._transport.subscribe((LeavingNews,), self._take_leaving)
+        self._logged_faults: set[tuple[str, str]] = set()
+        self._logged_headers: set[str] = set()
+        self._follower.on_directory.append(self._update_from_directory)
+        self._transport.subscribe((LeavingNews,), self._handle_drain_notice)
 
     def start(self) -> None:
-        """Do nothing; answers come later."""
+        """Do nothing: state is built from answers as they arrive."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Do nothing: there is nothing to close."""
 
-    # What is asked.
+    # Queries.
 
     def list_awake(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
-        """Return the endpoints that do not rest from this instance's calls."""
+        """Return the endpoints that this instance is not backing off from."""
         if not self._known:
             return endpoints
-        return [one for one in endpoints if not self.measure_rest(one.id)]
+        return [
+            endpoint for endpoint in endpoints if not self.measure_rest(endpoint.id)
+        ]
 
     def measure_rest(self, endpoint: str) -> float:
-        """Return the seconds until a call may be tried at an endpoint."""
+        """Return the seconds until a call may be sent to an endpoint."""
         known = self._known.get(endpoint)
         return known.measure_rest(self._clock.now()) if known else 0.0
 
     def wants_rest(self, endpoint: str) -> bool:
-        """Tell whether an endpoint's rest goes on."""
+        """Return whether an endpoint's back-off has not ended yet."""
         known = self._known.get(endpoint)
         return known is not None and self._clock.now() < known.rest_until
 
     def is_last_resort(self, endpoint: str) -> bool:
-        """Tell whether a leaving endpoint takes calls that no other can."""
+        """Return whether a draining endpoint still takes calls.
+
+        It gets only those that no other endpoint can take.
+        """
         known = self._known.get(endpoint)
         now = self._clock.now()
-        return known is not None and known.is_last_resort(self._drain, now)
+        return known is not None and known.is_last_resort(self._drain_time, now)
 
     def may_send(self, endpoint: Endpoint) -> bool:
-        """Tell whether the first byte of a call may be written to it now."""
+        """Return whether a call's first byte may be written to it now."""
         found = self._follower.directory.get(endpoint.id)
         known = self._known.get(endpoint.id)
         now = self._clock.now()
-        is_open = known is None or known.may_send(self._drain, now)
-        is_there = found is not None and not found.is_draining
-        if is_open and (is_there or self.is_last_resort(endpoint.id)):
+        is_open = known is None or known.may_send(self._drain_time, now)
+        is_listed = found is not None and not found.is_draining
+        if is_open and (is_listed or self.is_last_resort(endpoint.id)):
             return True
         self._measures.count("roadlift_held_sends", endpoint.service)
         return False
 
-    # What is sent and answered.
+    # Sends and their answers.
 
     def note_send(self, endpoint: Endpoint) -> None:
         """Count a call that is sent."""
@@ -114,24 +120,25 @@
         headers: Mapping[str, str],
         age: float | None = None,
     ) -> Statement:
-        """Learn from an answer's head; ``age`` is since the call was sent.
+        """Update the state of an endpoint from the head of an answer.
 
-        It is in seconds, and None where the answer is not to a call.
+        ``age`` is the seconds since the call was sent, or None if the answer
+        is not to a call.
         """
         statement = self._format.read_statement(status, headers)
         for fault in statement.faults:
             self._log_fault(endpoint, fault)
         for name in statement.unknown:
-            self._note_unknown(endpoint, name)
+            self._count_unknown_header(endpoint, name)
         if statement.is_leaving:
             self._note_leaving(endpoint, status, age)
         if statement.rest:
             self._note_rest(endpoint, statement.rest, status, age)
         elif age is not None and not statement.is_turned_away:
-            self._note_taken(endpoint, age)
+            self._record_accepted(endpoint, age)
         return statement
 
-    def _note_taken(self, endpoint: Endpoint, age: float) -> None:
+    def _record_accepted(self, endpoint: Endpoint, age: float) -> None:
         if endpoint.id in self._known:
             self._known[endpoint.id].note_taken(self._clock.now() - age)
 
@@ -150,21 +157,21 @@
                 age=_round(age),
             )
             self._follower.note_leaving(endpoint.id)
-            self._measure(endpoint.service)
-        if now - self._told_at.get(endpoint.id, float("-inf")) >= TELL_GAP:
-            self._told_at[endpoint.id] = now
-            self._tell(LeavingNews(self._peer, endpoint.id, False))
+            self._update_metrics(endpoint.service)
+        if now - self._notified_at.get(endpoint.id, float("-inf")) >= TELL_GAP:
+            self._notified_at[endpoint.id] = now
+            self._publish(LeavingNews(self._peer, endpoint.id, False))
 
     def _note_rest(
         self, endpoint: Endpoint, seconds: float, status: int, age: float | None
     ) -> None:
         now = self._clock.now()
-        standing = self._find(endpoint.id)
-        if not standing.note_rest(seconds, self._rng.random(), now):
+        state = self._find(endpoint.id)
+        if not state.note_rest(seconds, self._rng.random(), now):
             return
-        kept = standing.rest_until - now
-        self._loop.call_later(kept, lambda: self._end_rest(endpoint))
-        self._measure(endpoint.service)
+        kept = state.rest_until - now
+        self._loop.call_later(kept, lambda: self._end_backoff(endpoint))
+        self._update_metrics(endpoint.service)
         if now - self._logged_at.get(endpoint.id, float("-inf")) < LOG_GAP:
             return
         self._logged_at[endpoint.id] = now
@@ -178,61 +185,64 @@
             age=_round(age),
         )
 
-    def _end_rest(self, endpoint: Endpoint) -> None:
-        """Tell that a rest is over, if it was not asked for again."""
+    def _end_backoff(self, endpoint: Endpoint) -> None:
+        """Log the end of a back-off, unless it was extended."""
         known = self._known.get(endpoint.id)
         now = self._clock.now()
         if known is None or now < known.rest_until:
             return
-        self._measure(endpoint.service)
+        self._update_metrics(endpoint.service)
         if self._logged_at.pop(endpoint.id, None) is not None:
             log.event("endpoint_rested", endpoint=endpoint.id, service=endpoint.service)
 
-    # What instances tell each other.
+    # Messages between instances.
 
-    def _tell(self, news: LeavingNews) -> None:
-        """Tell the aggregator, or other aggregators as one."""
+    def _publish(self, notice: LeavingNews) -> None:
+        """Send a drain notice to the aggregator.
+
+        An aggregator sends it to the other aggregators instead.
+        """
         if not self._leases.list_held():
             if self._subscription.source:
-                self._transport.send(self._subscription.source, news)
+                self._transport.send(self._subscription.source, notice)
             return
         owners = {self._leases.find_owner(zone) for zone in self._leases.list_zones()}
         others = owners - {self._peer, None, ""}
-        self._transport.send_all(others, news._replace(is_passed_on=True))
+        self._transport.send_all(others, notice._replace(is_passed_on=True))
 
-    def _take_leaving(self, sender: str, message: LeavingNews) -> None:
-        """Mark the endpoint; the list's subscribers hear of that."""
+    def _handle_drain_notice(self, sender: str, message: LeavingNews) -> None:
+        """Mark the endpoint in the directory, whose subscribers get that."""
         if self._follower.note_leaving(message.endpoint) and not message.is_passed_on:
-            self._tell(message)
+            self._publish(message)
 
-    # What is told of it.
+    # Metrics and logs.
 
-    def _measure(self, service: str) -> None:
-        """Count the endpoints of a service that leave, and that rest."""
+    def _update_metrics(self, service: str) -> None:
+        """Count the draining endpoints of a service, and those backed off."""
         now = self._clock.now()
         found = [
-            self._known[one.id]
-            for one in self._follower.directory.list_service(service)
-            if one.id in self._known
+            self._known[endpoint.id]
+            for endpoint in self._follower.directory.list_service(service)
+            if endpoint.id in self._known
         ]
-        leaving = sum(one.left_at is not None for one in found)
-        resting = sum(now < one.rest_until for one in found)
-        self._measures.set("roadlift_leaving_endpoints", leaving, service)
-        self._measures.set("roadlift_resting_endpoints", resting, service)
+        draining = sum(state.left_at is not None for state in found)
+        backing_off = sum(now < state.rest_until for state in found)
+        self._measures.set("roadlift_leaving_endpoints", draining, service)
+        self._measures.set("roadlift_resting_endpoints", backing_off, service)
 
     def _log_fault(self, endpoint: Endpoint, fault: RoadliftError) -> None:
-        """Tell once for each endpoint and kind what can't be read."""
+        """Log an invalid header once for each endpoint and error code."""
         key = (endpoint.id, fault.code)
-        if key not in self._faulty:
-            self._faulty.add(key)
-            log.warning("%s says what can't be read: %s.", endpoint.id, fault)
+        if key not in self._logged_faults:
+            self._logged_faults.add(key)
+            log.warning("Invalid header in an answer of %s: %s.", endpoint.id, fault)
 
-    def _note_unknown(self, endpoint: Endpoint, name: str) -> None:
-        """Tell once of a header that nobody decided what to do with."""
+    def _count_unknown_header(self, endpoint: Endpoint, name: str) -> None:
+        """Count a header that no table lists, and log its name once."""
         self._measures.count("roadlift_unknown_headers", endpoint.service)
-        if name in self._unknown or len(self._unknown) >= MOST_UNKNOWN:
+        if name in self._logged_headers or len(self._logged_headers) >= MOST_UNKNOWN:
             return
-        self._unknown.add(name)
+        self._logged_headers.add(name)
         log.event(
             "header_unknown",
             header=name,
@@ -240,24 +250,24 @@
             service=endpoint.service,
         )
 
-    def _take_directory(self) -> None:
-        """Learn who left, and forget endpoints that are gone.
+    def _update_from_directory(self) -> None:
+        """Record relayed drain notices, and remove endpoints that are gone.
 
-        An entry may come back that lapsed as the list could not be written,
-        so a rest that goes on is kept.
+        An entry that lapsed because the list could not be written may come
+        back, so a back-off that has not ended yet is kept.
         """
         now = self._clock.now()
-        there = set()
+        listed = set()
         for endpoint in self._follower.directory.list_all():
-            there.add(endpoint.id)
+            listed.add(endpoint.id)
             if endpoint.is_leaving:
                 self._find(endpoint.id).note_leaving(now)
-        self._faulty = {one for one in self._faulty if one[0] in there}
-        for endpoint in set(self._known) - there:
+        self._logged_faults = {key for key in self._logged_faults if key[0] in listed}
+        for endpoint in set(self._known) - listed:
             if now >= self._known[endpoint].rest_until:
                 del self._known[endpoint]
-        for times in (self._told_at, self._logged_at):
-            for endpoint in set(times) - there:
+        for times in (self._notified_at, self._logged_at):
+            for endpoint in set(times) - listed:
                 del times[endpoint]
 
 
