--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -1,4 +1,4 @@
-"""Notice which calls end the endpoints that run them, and tell others."""
+"""Detect calls that crash the endpoints which run them, and report them."""
 
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 
 @parts.register("crashes")
 class CrashWatch:
-    """The ends of endpoints that this process sees by its own calls."""
+    """Crashes of endpoints that this process detects by its local calls."""
 
     name = "crashes"
     needs = (
@@ -37,50 +37,56 @@
         self._follower = kernel.get(Follower)
         self._measures = kernel.get(Measures)
         self._ledger = kernel.get(CrashLedger)
-        self._telling = CrashTelling(kernel)
+        self._sync = CrashTelling(kernel)
         self._rows = CrashRows(kernel)
-        self._turns = Turns(kernel.loop)
-        self._ends = EndCheck(kernel, self._note_end)
-        self._ledger.on_change.append(self._note_change)
+        self._trial_slots = Turns(kernel.loop)
+        self._crash_check = EndCheck(kernel, self._record_crash)
+        self._ledger.on_change.append(self._update_metrics)
 
     def start(self) -> None:
-        """Begin to tell and to hear."""
-        self._telling.start()
+        """Begin to exchange evidence and to read its rows."""
+        self._sync.start()
         self._rows.start()
 
     def close(self) -> None:
-        """Tell no more."""
+        """Stop both."""
         self._rows.close()
-        self._telling.close()
+        self._sync.close()
 
     def await_turn(
-        self, identify: Callable[[], bytes], on_turn: Callable[[], None]
+        self, identify: Callable[[], bytes], on_slot: Callable[[], None]
     ) -> bool:
-        """Tell whether a call has to wait; ``on_turn`` is called then."""
+        """Return whether a call has to wait for a trial slot.
+
+        If so, ``on_slot`` is called when the slot is free.
+        """
         if not self._ledger.is_suspect(identify):
             return False
-        return self._turns.wait(identify(), on_turn)
+        return self._trial_slots.wait(identify(), on_slot)
 
     def begin(self, identify: Callable[[], bytes]) -> bool:
-        """Give a call that is sent its turn, if it is under suspicion."""
+        """Give a call that is sent the trial slot, if it is suspect."""
         if not self._ledger.is_suspect(identify):
             return False
-        self._turns.begin(identify())
+        self._trial_slots.begin(identify())
         return True
 
     def end(self, identity: bytes) -> None:
-        """End the turn of a call for which ``begin`` was true."""
-        self._turns.end(identity)
+        """Release the slot of a call for which ``begin`` was true."""
+        self._trial_slots.end(identity)
 
     def note_cut(self, endpoint: Endpoint, identity: bytes, is_strong: bool) -> None:
-        """Learn that an endpoint closed the connection of a call it had."""
-        self._ends.note_cut(endpoint.id, endpoint.address, identity, is_strong)
+        """Record that an endpoint closed the connection of a running call.
+
+        ``is_strong`` means that the call had begun and sent no event.
+        """
+        self._crash_check.note_cut(endpoint.id, endpoint.address, identity, is_strong)
 
-    def _note_end(self, end: End) -> None:
+    def _record_crash(self, end: End) -> None:
         known = self._follower.directory.get(end.endpoint)
         if known is None or known.is_draining:
             return
-        suspects = [[name.hex(), weight] for name, weight in end.suspects.items()]
+        suspects = [[work.hex(), weight] for work, weight in end.suspects.items()]
         log.event(
             "endpoint_ended", endpoint=end.endpoint, cut=end.cut, suspects=suspects
         )
@@ -92,6 +98,6 @@
             ]
         )
 
-    def _note_change(self, identity: bytes) -> None:
-        barred = self._ledger.crashes.count_refused()
-        self._measures.set("roadlift_barred_work", barred)
+    def _update_metrics(self, identity: bytes) -> None:
+        quarantined = self._ledger.crashes.count_refused()
+        self._measures.set("roadlift_barred_work", quarantined)
--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -1,10 +1,10 @@
-"""Tell other instances under which calls endpoints ended.
+"""Exchange evidence with other instances of calls that crash endpoints.
 
-What is new goes to the aggregator at once, from there to its subscribers and
-to the owners of other zones, which pass it on in turn. Each second checksums
-are compared, and where they differ, both sides tell all: an instance that
-started again, or heard nothing for a while, knows it a second later. Where
-nothing is known, nothing is sent.
+New evidence goes to the aggregator at once, from there to its subscribers and
+to the owners of other zones, which forward it in turn. Checksums are compared
+once a second, and where they differ, both sides send all evidence: an instance
+that restarted, or received nothing for a while, has it a second later. Without
+any evidence nothing is sent.
 """
 
 from roadlift.core.errors import MalformedMessage
@@ -21,10 +21,11 @@
 from roadlift.serving.messages import CrashNews, CrashSum
 
 SUM_PERIOD = 1.0  # Seconds between checksums.
-# Seconds without a checksum from the aggregator behind which it is sent one.
+# Seconds without a checksum from the aggregator after which it is sent one.
 SUM_LIMIT = 2.5
-# Seconds between two tellings of all to one instance, and signs of one: 200
-# are some 9 KB, so that differences which stay cost 4.5 KB/s at most.
+# Seconds between two messages with all evidence to one instance, and pieces of
+# evidence in one: 200 take some 9 KB, so that a difference which persists
+# costs at most 4.5 KB/s.
 ALL_PERIOD = 2.0
 MOST_TOLD = 200
 
@@ -32,7 +33,7 @@
 
 
 class CrashTelling:
-    """The signs of crashes on their way between this process and others."""
+    """The exchange of crash evidence between this process and others."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
@@ -42,75 +43,80 @@
         self._leases = kernel.get(Leases)
         self._aggregator = kernel.get(Aggregator)
         self._subscription = kernel.get(Subscription)
-        self._heard_at: dict[str, float] = {}
-        self._told_at: dict[str, float] = {}
+        self._received_at: dict[str, float] = {}
+        self._sent_at: dict[str, float] = {}
         self._timer: Timer | None = None
-        self._ledger.on_news.append(self._spread)
-        self._transport.subscribe((CrashNews,), self._take_news)
-        self._transport.subscribe((CrashSum,), self._take_sum)
+        self._ledger.on_news.append(self._publish)
+        self._transport.subscribe((CrashNews,), self._handle_update)
+        self._transport.subscribe((CrashSum,), self._handle_checksum)
 
     def start(self) -> None:
         """Begin to compare checksums."""
-        self._timer = self._kernel.loop.call_every(SUM_PERIOD, self._send_sums)
+        self._timer = self._kernel.loop.call_every(SUM_PERIOD, self._send_checksums)
 
     def close(self) -> None:
-        """Tell no more."""
+        """Stop comparing checksums."""
         self._timer.close()
 
-    def _spread(self, signs: list[Sign], besides: str = "") -> None:
-        """Tell the others of signs that are new here."""
-        for start in range(0, len(signs), MOST_TOLD):
-            part = [list(sign) for sign in signs[start : start + MOST_TOLD]]
-            news = CrashNews(self._kernel.settings.peer, part, False)
-            self._transport.send_all(self._list_others() - {besides}, news)
+    def _publish(self, evidence: list[Sign], excluded: str = "") -> None:
+        """Send new evidence to the other instances."""
+        for start in range(0, len(evidence), MOST_TOLD):
+            batch = [list(item) for item in evidence[start : start + MOST_TOLD]]
+            update = CrashNews(self._kernel.settings.peer, batch, False)
+            self._transport.send_all(self._list_recipients() - {excluded}, update)
 
-    def _list_others(self) -> set[str]:
-        """Return the addresses of those that are told, or pass it on."""
+    def _list_recipients(self) -> set[str]:
+        """Return the addresses that evidence and checksums are sent to.
+
+        An instance that owns no zone sends them to its aggregator alone.
+        """
         if not self._leases.list_held():
             return {self._subscription.source} - {""}
         zones = self._leases.list_zones()
         owners = {self._leases.find_owner(zone) for zone in zones}
-        others = owners | set(self._aggregator.list_subscribers())
-        return others - {None, self._kernel.settings.peer}
+        recipients = owners | set(self._aggregator.list_subscribers())
+        return recipients - {None, self._kernel.settings.peer}
 
-    def _send_sums(self) -> None:
+    def _send_checksums(self) -> None:
         now = self._kernel.clock.now()
         self._crashes.expire(now)
         if self._crashes.is_empty:
             return
         message = CrashSum(self._kernel.settings.peer, self._crashes.compute_checksum())
-        others = self._list_others()
+        recipients = self._list_recipients()
         if not self._leases.list_held():
             recent = now - SUM_LIMIT
-            others = {one for one in others if self._heard_at.get(one, 0.0) < recent}
-        self._transport.send_all(others, message)
+            recipients = {
+                one for one in recipients if self._received_at.get(one, 0.0) < recent
+            }
+        self._transport.send_all(recipients, message)
 
-    def _take_sum(self, sender: str, message: CrashSum) -> None:
+    def _handle_checksum(self, sender: str, message: CrashSum) -> None:
         now = self._kernel.clock.now()
-        self._heard_at = {message.address: now}
+        self._received_at = {message.address: now}
         if message.checksum != self._crashes.compute_checksum():
-            self._tell_all(message.address, True, now)
+            self._send_all(message.address, True, now)
 
-    def _tell_all(self, address: str, wants_all: bool, now: float) -> None:
-        """Tell one instance all signs, the newest first."""
-        if wants_all and now - self._told_at.get(address, float("-inf")) < ALL_PERIOD:
+    def _send_all(self, address: str, wants_all: bool, now: float) -> None:
+        """Send all evidence to one instance, the newest first."""
+        if wants_all and now - self._sent_at.get(address, float("-inf")) < ALL_PERIOD:
             return
-        recent = {one: at for one, at in self._told_at.items() if now - at < ALL_PERIOD}
-        self._told_at = {**recent, address: now}
-        signs = sorted(self._crashes.list_signs(now), key=lambda sign: sign.age)
-        told = [list(sign) for sign in signs[:MOST_TOLD]]
-        news = CrashNews(self._kernel.settings.peer, told, wants_all)
-        self._transport.send(address, news)
-
-    def _take_news(self, sender: str, news: CrashNews) -> None:
+        recent = {one: at for one, at in self._sent_at.items() if now - at < ALL_PERIOD}
+        self._sent_at = {**recent, address: now}
+        evidence = sorted(self._crashes.list_signs(now), key=lambda item: item.age)
+        batch = [list(item) for item in evidence[:MOST_TOLD]]
+        update = CrashNews(self._kernel.settings.peer, batch, wants_all)
+        self._transport.send(address, update)
+
+    def _handle_update(self, sender: str, update: CrashNews) -> None:
         now = self._kernel.clock.now()
         try:
-            signs = read_signs(news.signs)
+            evidence = read_signs(update.signs)
         except MalformedMessage as error:
-            log.warning("Signs of crashes were ignored: %s.", error)
+            log.warning("Crash evidence from another instance was ignored: %s.", error)
             return
-        found = self._ledger.merge(signs)
+        found = self._ledger.merge(evidence)
         if found and self._leases.list_held():
-            self._spread(found, news.address)
-        if news.wants_all:
-            self._tell_all(news.address, False, now)
+            self._publish(found, update.address)
+        if update.wants_all:
+            self._send_all(update.address, False, now)
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -1,10 +1,11 @@
-"""Keep in the platform's store which work is refused for good reason.
-
-What is only suspected is told between instances and is gone with them. Work
-that is refused is rare, and gets a row: instances that all start again, or
-hear nothing of the others, learn of it from there. Those write and read rows
-for which no aggregator reads. A row that is deleted lets its work in again; so
-an operator can do.
+"""Keep quarantined work in the platform's store.
+
+Evidence that does not suffice for a quarantine is only exchanged between
+instances, and is lost when all of them end. Quarantined work is rare, and gets
+a row: after a restart of all instances, or without contact to the others, an
+instance reads it from there. Rows are written and read by the instances that
+get no rows from an aggregator. Deleting a row admits its work again, which an
+operator may do.
 """
 
 from typing import NamedTuple
@@ -24,30 +25,32 @@
 from roadlift.serving.position import NOWHERE, StorePosition
 
 TABLE = "roadlift_crashes"
-# Seconds that a poll waits at the store. Rows change seldom, and one that
-# hangs on a dead path is noticed by the connection's keep-alive.
+# Seconds for which the store may hold a poll without a change. Rows rarely
+# change, and a poll that hangs on a dead path is detected by the keep-alive of
+# the connection.
 WAIT = 10.0
-# Seconds between two polls. All read once at their start; by then an
-# aggregator reads for most of them, and 195 instances save a call each.
+# Seconds between two polls. All instances read once at their start; by the
+# second poll an aggregator reads for most of them, which saves 195 instances
+# a store call each.
 POLL_PAUSE = 1.5
-# Seconds behind a read that failed, and between tries to write.
+# Seconds after a failed read, and between attempts to write.
 RETRY_PAUSE = 2.0
 # Seconds by which the owner of each further zone writes later, so that it
-# finds the row that the one before has written.
+# finds the row that the owner of the previous zone has written.
 TURN = 0.3
 
 log = PartLog("crashes")
 
 
-class _Known(NamedTuple):
-    """A row as it is in the store: {endpoint: weight} and its position."""
+class _KnownRow(NamedTuple):
+    """A row in the store: the weights by endpoint, and its position."""
 
     weights: dict[str, int]
     position: StorePosition
 
 
 class CrashRows:
-    """The rows of refused work, as this process reads and writes them."""
+    """The rows of quarantined work that this process reads and writes."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
@@ -56,77 +59,80 @@
         self._store = kernel.get(Platform).store
         self._leases = kernel.get(Leases)
         self._is_relayed = kernel.get(Follower).is_relayed
-        self._rows: dict[bytes, _Known] = {}
-        self._due: set[bytes] = set()
+        self._rows: dict[bytes, _KnownRow] = {}
+        self._unwritten: set[bytes] = set()
         self._era: int | None = None
         self._time: StoreTime | None = None
         self._timer: Timer | None = None
-        self._ledger.on_change.append(self._note)
+        self._ledger.on_change.append(self._schedule_write)
         self._reader = TableReader(
             kernel,
             TABLE,
             lambda: WAIT,
             POLL_PAUSE,
-            self._take_rows,
+            self._apply_rows,
             lambda: None,
             self._is_relayed,
             RETRY_PAUSE,
         )
 
     def start(self) -> None:
-        """Read the rows, and follow them where nobody else does."""
+        """Read the rows, and poll them unless an aggregator relays them."""
         self._reader.start()
         self._timer = self._kernel.loop.call_every(RETRY_PAUSE, self._tick)
 
     def close(self) -> None:
-        """Follow no more."""
+        """Stop polling and writing."""
         self._timer.close()
         self._reader.close()
 
-    def _note(self, identity: bytes) -> None:
-        """Keep what is known of work, or drop its row if it is cleared."""
-        if self._is_relayed() or self._is_kept(identity):
+    def _schedule_write(self, identity: bytes) -> None:
+        """Schedule a write, or a deletion of cleared work, if it is due."""
+        if self._is_relayed() or self._is_stored(identity):
             return
-        self._due.add(identity)
-        pause = TURN * self._find_turn()
-        self._kernel.loop.call_later(pause, lambda: self._write(identity))
+        self._unwritten.add(identity)
+        delay = TURN * self._find_rank()
+        self._kernel.loop.call_later(delay, lambda: self._write(identity))
 
-    def _is_kept(self, identity: bytes) -> bool:
-        """Tell whether the store has what is known of a call."""
+    def _is_stored(self, identity: bytes) -> bool:
+        """Return whether the store agrees with what is known of work."""
         known = self._rows.get(identity)
         if not self._crashes.is_refused(identity):
-            # A row that is deleted lets the work in everywhere.
+            # Deleting a row admits the work at all instances.
             return known is None or not self._crashes.is_settled(identity)
-        return known is not None and known.weights == self._weigh(identity)
+        return known is not None and known.weights == self._list_weights(identity)
 
-    def _find_turn(self) -> int:
+    def _find_rank(self) -> int:
+        """Return the index of the first zone owned here."""
         zones = self._leases.list_zones()
         held = self._leases.list_held()
         return min((zones.index(zone) for zone in held), default=len(zones))
 
-    def _weigh(self, identity: bytes) -> dict[str, int]:
-        signs = self._crashes.list_signs(self._kernel.clock.now(), identity)
-        return {sign.endpoint: sign.weight for sign in signs}
+    def _list_weights(self, identity: bytes) -> dict[str, int]:
+        evidence = self._crashes.list_signs(self._kernel.clock.now(), identity)
+        return {item.endpoint: item.weight for item in evidence}
 
     def _tick(self) -> None:
-        """Try again what could not be written, and drop old rows."""
-        for identity in list(self._due):
+        """Retry the pending writes, and delete rows that are outdated."""
+        for identity in list(self._unwritten):
             self._write(identity)
-        if self._find_turn() == 0:
+        if self._find_rank() == 0:
             for identity in list(self._rows):
-                self._note(identity)
+                self._schedule_write(identity)
 
     def _write(self, identity: bytes) -> None:
-        if identity not in self._due:
+        if identity not in self._unwritten:
             return
         known = self._rows.get(identity)
         is_full = known is None and len(self._rows) >= MOST_CALLS
-        if self._is_kept(identity) or is_full:
+        if self._is_stored(identity) or is_full:
             if is_full:
-                log.warning("No row is kept of work: there are %s.", MOST_CALLS)
-            self._due.discard(identity)
+                log.warning("Quarantined work not stored: %s rows already.", MOST_CALLS)
+            self._unwritten.discard(identity)
             return
-        weights = self._weigh(identity) if self._crashes.is_refused(identity) else None
+        weights = (
+            self._list_weights(identity) if self._crashes.is_refused(identity) else None
+        )
         row = RowWrite(
             TABLE,
             identity.hex(),
@@ -135,61 +141,61 @@
         )
         self._store.write(
             row,
-            lambda position, time: self._note_written(identity, weights, position),
-            lambda error: self._note_failure(identity, error),
+            lambda position, time: self._record_written(identity, weights, position),
+            lambda error: self._handle_failure(identity, error),
         )
 
     def _encode(self, identity: bytes, weights: dict[str, int]) -> bytes:
         now = self._kernel.clock.now()
-        age = min(sign.age for sign in self._crashes.list_signs(now, identity))
+        age = min(item.age for item in self._crashes.list_signs(now, identity))
         store_now = self._time.estimate_latest(now) if self._time else age
         return encode_row(store_now - age, weights)
 
-    def _note_written(
+    def _record_written(
         self,
         identity: bytes,
         weights: dict[str, int] | None,
         position: StorePosition,
     ) -> None:
-        self._due.discard(identity)
+        self._unwritten.discard(identity)
         if weights is None:
             self._rows.pop(identity, None)
         else:
-            self._rows[identity] = _Known(weights, position)
+            self._rows[identity] = _KnownRow(weights, position)
 
-    def _note_failure(self, identity: bytes, error: RoadliftError) -> None:
+    def _handle_failure(self, identity: bytes, error: RoadliftError) -> None:
         if isinstance(error, VersionConflict):
-            # Another instance wrote the row; what it says is read before long.
-            self._due.discard(identity)
+            # Another instance wrote the row, which the next poll returns.
+            self._unwritten.discard(identity)
         log.event("crash_row_failed", identity=identity.hex(), error=str(error))
 
-    def _take_rows(self, rows: Rows, is_whole: bool) -> None:
+    def _apply_rows(self, rows: Rows, is_complete: bool) -> None:
         self._time = rows.time
-        if is_whole:
+        if is_complete:
             self._rows.clear()
         store_now = rows.time.estimate_latest(self._kernel.clock.now())
         for row in rows.rows:
             try:
-                self._take_row(row, store_now)
+                self._apply_row(row, store_now)
             except MalformedMessage as error:
-                log.error("A row of crashes is ignored: %s.", error)
+                log.error("A row of quarantined work is ignored: %s.", error)
         is_returned = self._era is not None and rows.position.era > self._era
         self._era = rows.position.era
         if is_returned:
-            self._write_lost()
+            self._rewrite_lost()
 
-    def _write_lost(self) -> None:
-        """Write rows again that the store lost as it came back older."""
+    def _rewrite_lost(self) -> None:
+        """Write the rows that the store lost when it came back older."""
         for identity in self._crashes.list_refused():
-            self._note(identity)
+            self._schedule_write(identity)
 
-    def _take_row(self, row: StoredRow, store_now: float) -> None:
+    def _apply_row(self, row: StoredRow, store_now: float) -> None:
         identity = read_key(row.key)
         if row.value is None:
             if self._rows.pop(identity, None) is not None:
                 self._ledger.clear(lambda: identity)
             return
-        signs = read_row(identity, row.value, store_now)
-        weights = {sign.endpoint: sign.weight for sign in signs}
-        self._rows[identity] = _Known(weights, row.position)
-        self._ledger.learn(signs)
+        evidence = read_row(identity, row.value, store_now)
+        weights = {item.endpoint: item.weight for item in evidence}
+        self._rows[identity] = _KnownRow(weights, row.position)
+        self._ledger.learn(evidence)
