--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -1,4 +1,4 @@
-"""Carry orders to one engine, and read its reports."""
+"""Send orders to one engine, and read its reports."""
 
 from collections.abc import Callable
 
@@ -19,17 +19,22 @@
 from roadlift.serving.engine import EngineBook, Plan
 from roadlift.serving.orders import EngineReport, Order, OrderResult
 
-# Seconds for the answer to an order, which comes within some milliseconds and
-# may be sent again without harm: every unanswered one holds up its engine.
+# Seconds for the answer to an order. It normally takes some milliseconds, an
+# order may safely be sent again, and an unanswered one delays all further
+# orders to its engine.
 ORDER_TIMEOUT = 0.06
-REPORT_TIMEOUT = 0.5  # Seconds for the answer to the question for a report.
-REPORT_PAUSE = 0.3  # Seconds between tries to read an engine's report.
+REPORT_TIMEOUT = 0.5  # Seconds for the answer to a request for a report.
+REPORT_PAUSE = 0.3  # Seconds between attempts to read an engine's report.
 
 log = PartLog("owner")
 
 
 class OwnedEngine:
-    """One engine under this owner: its book, and the orders on their way."""
+    """One engine of this owner: its record, and the orders in flight.
+
+    ``on_change`` is called when the record has changed, ``on_report`` when a
+    report was read, ``on_end`` when the engine seems to have crashed.
+    """
 
     def __init__(
         self, kernel: Kernel, zone: str, endpoint: Endpoint, book: EngineBook
@@ -50,13 +55,13 @@
         self.on_end: Callable[[OwnedEngine], None] = lambda engine: None
 
     def close(self) -> None:
-        """Give no more orders."""
+        """Send no further orders."""
         self._is_open = False
         if self._timer is not None:
             self._timer.close()
 
     def advance(self) -> None:
-        """Send the next order or read the report, where that is due."""
+        """Send the next order or read the report, whichever is due."""
         if not self._is_open or self._is_reading:
             return
         if self._timer is not None:
@@ -64,10 +69,10 @@
             self._timer = None
         now = self._kernel.clock.now()
         if self.book.needs_report and self.book.is_idle:
-            # A report is no order: it may be read while the owner is quiet,
-            # so that what is loaded already is used at once.
-            pause = self.book.measure_pause(now)
-            self._wait(pause) if pause > 0 else self._read_report()
+            # Reading a report is not an order: a new owner may do so before
+            # it may order, and loaded adapters are then used at once.
+            delay = self.book.measure_pause(now)
+            self._wait(delay) if delay > 0 else self._read_report()
             return
         if not self._lease.may_order(now):
             self._wait(max(0.05, self._lease.orders_from - now))
@@ -75,7 +80,7 @@
         while (plan := self.book.plan(now)) is not None:
             self._send(plan)
         if self.book.take_peek(now):
-            self._fetch_report(self._take_arrivals, self._fail_peek)
+            self._fetch_report(self._apply_arrivals, self._handle_peek_failure)
         if self.book.denied:
             self.on_change(self)
         wait = self.book.measure_wait(now)
@@ -100,27 +105,27 @@
             self._kernel.dialer,
             self.endpoint.address,
             request,
-            lambda answer: self._take_answer(plan, order, answer),
-            lambda error: self._take_failure(plan, order, error),
+            lambda answer: self._handle_answer(plan, order, answer),
+            lambda error: self._handle_failure(plan, order, error),
             ORDER_TIMEOUT,
         )
 
-    def _take_answer(self, plan: Plan, order: Order, answer: Answer) -> None:
-        self._note_head(answer)
+    def _handle_answer(self, plan: Plan, order: Order, answer: Answer) -> None:
+        self._record_head(answer)
         result = self._orders.judge_order(answer)
-        self._take_result(plan, order, result, answer.status)
+        self._handle_result(plan, order, result, answer.status)
 
-    def _note_head(self, answer: Answer) -> None:
-        """Learn what the engine says of itself, in whatever it answers."""
+    def _record_head(self, answer: Answer) -> None:
+        """Record what the engine advertises in the head of any answer."""
         self._standings.note_head(self.endpoint, answer.status, answer.headers)
 
-    def _take_failure(self, plan: Plan, order: Order, error: RoadliftError) -> None:
-        self._note_error(error)
+    def _handle_failure(self, plan: Plan, order: Order, error: RoadliftError) -> None:
+        self._check_refused(error)
         is_sent = error.outcome is not Outcome.NOT_RUN
         result = OrderResult.UNKNOWN if is_sent else OrderResult.NOT_SENT
-        self._take_result(plan, order, result, str(error))
+        self._handle_result(plan, order, result, str(error))
 
-    def _take_result(
+    def _handle_result(
         self, plan: Plan, order: Order, result: OrderResult, said: object
     ) -> None:
         if not self._is_open:
@@ -143,27 +148,26 @@
         self.on_change(self)
         self.advance()
 
-    def _note_error(self, error: RoadliftError) -> None:
-        """Tell of the engine's end where nothing listens at its address."""
+    def _check_refused(self, error: RoadliftError) -> None:
+        """Report a crash of the engine if nothing listens at its address."""
         if self._is_open and isinstance(error, ConnectionRefused):
             self.on_end(self)
 
     def _read_report(self) -> None:
         self._is_reading = True
-        self._fetch_report(self._take_report, self._fail_report)
+        self._fetch_report(self._apply_report, self._handle_report_failure)
 
     def _fetch_report(
         self,
         on_report: Callable[[EngineReport], None],
         on_error: Callable[[RoadliftError], None],
     ) -> None:
-        """Read the engine's report, and pass it on while this is open."""
+        """Read the engine's report, and call back unless closed by then."""
 
-        def take(answer: Answer) -> None:
-            """Read the answer."""
+        def handle(answer: Answer) -> None:
             if not self._is_open:
                 return
-            self._note_head(answer)
+            self._record_head(answer)
             try:
                 report = self._orders.read_report(answer)
                 self._check_run(report)
@@ -186,7 +190,7 @@
             self._kernel.dialer,
             self.endpoint.address,
             self._orders.build_report(self.endpoint),
-            take,
+            handle,
             lambda error: on_error(error) if self._is_open else None,
             REPORT_TIMEOUT,
         )
@@ -194,28 +198,29 @@
     def _check_run(self, report: EngineReport) -> None:
         """Raise EndpointFailed for the report of another run of the engine.
 
-        The list tells of that one soon, and it gets a book of its own.
+        The list of endpoints will soon contain that run, which then gets a
+        record of its own.
         """
         known = self.endpoint.started_at
         if known and report.started_at not in (0, known):
-            raise EndpointFailed(f"{self.endpoint.name} has started again")
+            raise EndpointFailed(f"{self.endpoint.name} has restarted")
 
-    def _take_report(self, report: EngineReport) -> None:
+    def _apply_report(self, report: EngineReport) -> None:
         self._is_reading = False
         self.book.take_report(report, self._kernel.clock.now())
         self.on_report(self)
 
-    def _take_arrivals(self, report: EngineReport) -> None:
+    def _apply_arrivals(self, report: EngineReport) -> None:
         self.book.note_arrivals(report, self._kernel.clock.now())
         self.on_change(self)
 
-    def _fail_peek(self, error: RoadliftError) -> None:
-        self._note_error(error)
+    def _handle_peek_failure(self, error: RoadliftError) -> None:
+        self._check_refused(error)
         log.event("report_failed", endpoint=self.endpoint.id, error=str(error))
 
-    def _fail_report(self, error: RoadliftError) -> None:
+    def _handle_report_failure(self, error: RoadliftError) -> None:
         self._is_reading = False
-        self._note_error(error)
+        self._check_refused(error)
         if self._is_open:
             log.event("report_failed", endpoint=self.endpoint.id, error=str(error))
             self.book.note_failed_report(self._kernel.clock.now())
--- a/roadlift/instance/owner.py
+++ b/roadlift/instance/owner.py
@@ -1,4 +1,4 @@
-"""Own the zones whose lease this process holds."""
+"""Act as the owner of the zones whose lease this process holds."""
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.daemon.transport import Transport
@@ -12,14 +12,15 @@
     Subscribe,
 )
 
-# Seconds between hand-backs of one zone's lease to the zone's own instances:
-# where none of them takes it, the zone has no owner for some seconds.
+# Seconds between two releases of one zone's lease in favour of other
+# instances: if none of them acquires it, the zone has no owner for some
+# seconds.
 HAND_BACK_PERIOD = 10.0
 
 
 @parts.register("owner")
 class Owner:
-    """The terms of this process as an owner."""
+    """The terms of this process as the owner of zones."""
 
     name = "owner"
     needs = (
@@ -35,22 +36,22 @@
         self._kernel = kernel
         self._leases = kernel.get(Leases)
         self._terms: dict[str, Term] = {}
-        self._handed_back: dict[str, float] = {}
+        self._released_at: dict[str, float] = {}
         self._timer = None
         follower = kernel.get(Follower)
-        follower.on_directory.append(self._update)
-        follower.on_configuration.append(lambda configuration: self._update())
-        follower.on_version.append(self._take_version)
-        self._leases.on_change.append(self._check_zone)
+        follower.on_directory.append(self._update_engines)
+        follower.on_configuration.append(lambda configuration: self._update_engines())
+        follower.on_version.append(self._handle_version)
+        self._leases.on_change.append(self._update_term)
         transport = kernel.get(Transport)
-        transport.subscribe((Subscribe,), self._take_subscription)
+        transport.subscribe((Subscribe,), self._handle_subscription)
 
     def start(self) -> None:
-        """Begin to look after the subscribers."""
+        """Begin to expire subscribers and requests."""
         self._timer = self._kernel.loop.call_every(1.0, self._tick)
 
     def close(self) -> None:
-        """Give no more orders."""
+        """End all terms."""
         self._timer.close()
         for term in self._terms.values():
             term.close()
@@ -59,7 +60,7 @@
         """Return the terms of the zones that this process owns."""
         return list(self._terms.values())
 
-    def _check_zone(self, zone: str) -> None:
+    def _update_term(self, zone: str) -> None:
         lease = self._leases.get(zone)
         term = self._terms.get(zone)
         if term is not None and (not lease.is_held or term.fence != lease.fence):
@@ -69,27 +70,27 @@
             self._terms[zone] = Term(self._kernel, zone, lease.fence)
             self._terms[zone].update()
 
-    def _update(self) -> None:
+    def _update_engines(self) -> None:
         for term in self._terms.values():
             term.update()
 
-    def _take_version(self, model: Model, version: int) -> None:
+    def _handle_version(self, model: Model, version: int) -> None:
         for term in self._terms.values():
             term.take_version(model, version)
 
-    def _take_subscription(self, sender: str, message: Subscribe) -> None:
+    def _handle_subscription(self, sender: str, message: Subscribe) -> None:
         term = self._terms.get(message.zone)
         if term is None:
             return
         term.take_subscription(message)
 
     def consider_hand_back(self, message: Heartbeat) -> None:
-        """Give a lease back where a subscriber is better placed for it.
+        """Release a lease if a subscriber is better placed to hold it.
 
-        That is one of the zone itself, one whose link bears what an owner
-        sends where this process's does not, or any one where this process
-        reaches none of the zone's engines. When the zone is cut off, an owner
-        inside it goes on for a while.
+        That is an instance of the zone itself; one with a link that is fast
+        enough for an owner, if this process has a slower one; or any instance,
+        if this process reaches none of the zone's engines. An owner inside the
+        zone keeps working for a while when the zone is cut off.
         """
         zone = message.home
         settings = self._kernel.settings
@@ -100,14 +101,14 @@
         if zone == settings.zone and not is_weak and not is_lost:
             return
         now = self._kernel.clock.now()
-        last = self._handed_back.get(zone, float("-inf"))
+        last = self._released_at.get(zone, float("-inf"))
         is_due = now - last >= HAND_BACK_PERIOD
         if is_due and self._leases.get(zone).may_order(now):
-            self._handed_back[zone] = now
+            self._released_at[zone] = now
             self._leases.hand_back(zone)
 
     def take_ask(self, message: Ask) -> None:
-        """Load an adapter, or deny it where this process does not own it."""
+        """Load an adapter, or deny it if this process is not the owner."""
         term = self._terms.get(message.zone)
         if term is not None:
             term.take_ask(message)
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -1,4 +1,4 @@
-"""Look after the engines and the subscribers of one zone."""
+"""Manage the engines and the subscribers of one zone as its owner."""
 
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
@@ -31,20 +31,21 @@
 from roadlift.serving.newslog import CatchUp, Change, NewsLog, pack_changes
 from roadlift.serving.usage import Completeness
 
-# Seconds between two news of what engines hold. Instances that asked are told
-# at once; another may send a call to a copy that is gone, which the engine
-# refuses.
+# Seconds between two updates of what engines hold. Instances that requested an
+# adapter are notified at once; others may send a call to a copy that is gone,
+# which the engine then rejects.
 NEWS_PERIOD = 0.05
-LOADS_PERIOD = 0.05  # Seconds between two tellings of loads.
-PULSE_PERIOD = 0.2  # Seconds between two signs to one subscriber.
-LOADS_AGE = 0.005  # Seconds for which the measured loads are used again.
-SUBSCRIBER_LIMIT = 4.0  # Seconds of silence after which a subscriber is gone.
+LOADS_PERIOD = 0.05  # Seconds between two updates of the engines' loads.
+PULSE_PERIOD = 0.2  # Minimum seconds between two pulses to one subscriber.
+LOADS_AGE = 0.005  # Seconds for which computed loads are reused.
+# Seconds without a message after which a subscriber is removed.
+SUBSCRIBER_LIMIT = 4.0
 
 log = PartLog("owner")
 
 
 class Term:
-    """This process's time as the owner of one zone."""
+    """The time in which this process owns one zone."""
 
     def __init__(self, kernel: Kernel, zone: str, fence: int) -> None:
         self._kernel = kernel
@@ -52,16 +53,16 @@
         self._follower = kernel.get(Follower)
         self._ledger = kernel.get(CrashLedger)
         self._zone = zone
-        self._news = NewsLog()
+        self._updates = NewsLog()
         self._subscribers: dict[str, float] = {}
         self._members: dict[str, int] = {}
         self._pulsed_at: dict[str, float] = {}
-        self._told: dict[str, ToldLoads] = {}
+        self._sent_loads: dict[str, ToldLoads] = {}
         self._completeness = Completeness()
         self._changes: list[Change] = []
-        self._news_timer = None
+        self._updates_timer = None
         self._loads_timer = None
-        self._askers: dict[tuple[str, Model], set[str]] = {}
+        self._requesters: dict[tuple[str, Model], set[str]] = {}
         self._times = LoadTimes()
         self._denials = Denials()
         self._base_loads: BaseLoads | None = None
@@ -72,17 +73,20 @@
 
     @property
     def reaches_none(self) -> bool:
-        """Tell whether no engine of the zone answers, of two or more."""
-        books = [engine.book for engine in self.engines.values()]
-        return len(books) > 1 and all(book.is_unreachable for book in books)
+        """Return whether the zone has several engines and none answers."""
+        records = [engine.book for engine in self.engines.values()]
+        return len(records) > 1 and all(record.is_unreachable for record in records)
 
     def close(self) -> None:
-        """Give no more orders, and tell that an owner may be looked for."""
+        """Stop sending orders, and notify the subscribers.
+
+        The last pulse lets them look for another owner at once.
+        """
         for engine in self.engines.values():
             engine.close()
-        if self._news_timer is not None:
-            self._news_timer.close()
-            self._send_news()
+        if self._updates_timer is not None:
+            self._updates_timer.close()
+            self._send_updates()
         if self._loads_timer is not None:
             self._loads_timer.close()
         now = self._kernel.clock.now()
@@ -90,7 +94,7 @@
             self._transport.send(address, self._make_pulse(address, now, []))
 
     def update(self) -> None:
-        """Take up new engines of the zone, and drop those that left."""
+        """Add new engines of the zone, and remove those that are gone."""
         configuration = self._follower.configuration
         if configuration is None:
             return
@@ -107,30 +111,35 @@
                 self._add(endpoint, shape)
 
     def _add(self, endpoint: Endpoint, shape) -> None:
-        bases = tuple(model.name for model in shape.models)
+        base_models = tuple(model.name for model in shape.models)
         if self._base_loads is None:
             zones = len(self._kernel.get(Leases).list_zones())
             self._base_loads = BaseLoads(shape.loads_per_second / zones)
-        book = EngineBook(
-            shape.adapter_slots, bases, self._times, self._base_loads, self._denials
+        record = EngineBook(
+            shape.adapter_slots,
+            base_models,
+            self._times,
+            self._base_loads,
+            self._denials,
         )
-        engine = OwnedEngine(self._kernel, self._zone, endpoint, book)
-        engine.on_change = self._spread
-        engine.on_report = self._spread
-        engine.on_end = self._note_end
+        engine = OwnedEngine(self._kernel, self._zone, endpoint, record)
+        engine.on_change = self._publish_changes
+        engine.on_report = self._publish_changes
+        engine.on_end = self._record_crash
         self.engines[endpoint.id] = engine
-        # Calls may have been told of that run there since before it was known.
+        # Instances may have reported running calls there before the engine was
+        # known here; those reports were ignored.
         self._completeness.doubt_all()
         engine.advance()
 
     def take_version(self, model: Model, version: int) -> None:
-        """Retire the copies of an adapter that are older."""
+        """Retire the copies of an adapter that are older than a version."""
         for engine in self.engines.values():
             engine.book.retire(model, version)
-            self._spread(engine)
+            self._publish_changes(engine)
 
     def take_subscription(self, message: Subscribe) -> None:
-        """Count the uses, and tell a subscriber what it lacks."""
+        """Count the reported uses, and send a subscriber what it lacks."""
         now = self._kernel.clock.now()
         self._subscribers[message.address] = now
         self._members[message.address] = message.members
@@ -149,12 +158,12 @@
             if endpoint in self.engines:
                 self.engines[endpoint].book.usage.note_reading(message.address, tokens)
         if message.uses or message.reading:
-            self._plan_loads()
+            self._schedule_loads()
         self._catch_up(message, now)
-        self._give_sign(message.address, now)
+        self._send_pulse(message.address, now)
 
-    def _give_sign(self, address: str, now: float) -> None:
-        """Answer an aggregator, which tells more often than it needs signs."""
+    def _send_pulse(self, address: str, now: float) -> None:
+        """Answer an aggregator, but not each of its frequent reports."""
         last = self._pulsed_at.get(address, float("-inf"))
         is_complete = self._completeness.is_complete(address)
         if is_complete and now - last < PULSE_PERIOD:
@@ -164,12 +173,12 @@
         self._transport.send(address, self._make_pulse(address, now, changed))
 
     def _list_changed(self, address: str, now: float) -> list:
-        """Return the loads of engines that are not as this instance knows."""
-        told = self._told.setdefault(address, ToldLoads())
-        return told.list_changed(self._measure_loads(now), now)
+        """Return the loads that differ from what a subscriber was sent."""
+        sent = self._sent_loads.setdefault(address, ToldLoads())
+        return sent.list_changed(self._compute_loads(now), now)
 
-    def _measure_loads(self, now: float) -> dict[str, EngineLoad]:
-        """Return the loads of the engines, measured once for all messages."""
+    def _compute_loads(self, now: float) -> dict[str, EngineLoad]:
+        """Return the loads of the engines, computed once for all messages."""
         if now - self._loads_at >= LOADS_AGE:
             self._loads_at = now
             self._loads = {
@@ -184,14 +193,14 @@
             }
         return self._loads
 
-    def _plan_loads(self) -> None:
-        """Tell the subscribers of changed loads before long."""
+    def _schedule_loads(self) -> None:
+        """Schedule an update of changed loads."""
         if self._loads_timer is None:
             self._loads_timer = self._kernel.loop.call_later(
-                LOADS_PERIOD, self._tell_loads
+                LOADS_PERIOD, self._send_loads
             )
 
-    def _tell_loads(self) -> None:
+    def _send_loads(self) -> None:
         self._loads_timer = None
         now = self._kernel.clock.now()
         for address in self._subscribers:
@@ -200,7 +209,7 @@
                 self._transport.send(address, EngineLoads(self._zone, changed))
 
     def take_ask(self, message: Ask) -> None:
-        """Load an adapter, or deny it."""
+        """Load a requested adapter, or deny it."""
         now = self._kernel.clock.now()
         engine = self.engines.get(message.endpoint)
         model = Model(message.base, message.adapter)
@@ -220,31 +229,31 @@
         if not engine.book.want(model, message.least, Urgency(*message.urgency), now):
             deny(self._transport, message)
             return
-        asked = self._askers.setdefault((message.endpoint, model), set())
-        asked.add(message.address)
+        requesters = self._requesters.setdefault((message.endpoint, model), set())
+        requesters.add(message.address)
         engine.advance()
 
     def tick(self) -> None:
-        """Drop subscribers that fell silent, and askings that are over."""
+        """Remove inactive subscribers and the requesters of finished loads."""
         now = self._kernel.clock.now()
-        self._askers = {
-            (name, model): asked
-            for (name, model), asked in self._askers.items()
+        self._requesters = {
+            (name, model): requesters
+            for (name, model), requesters in self._requesters.items()
             if name in self.engines and self.engines[name].book.is_wanted(model)
         }
-        for address, heard in list(self._subscribers.items()):
-            if now - heard > SUBSCRIBER_LIMIT:
+        for address, last_seen_at in list(self._subscribers.items()):
+            if now - last_seen_at > SUBSCRIBER_LIMIT:
                 del self._subscribers[address]
                 self._members.pop(address, None)
                 self._pulsed_at.pop(address, None)
-                self._told.pop(address, None)
+                self._sent_loads.pop(address, None)
                 self._completeness.forget(address)
-                self._news.forget(address)
+                self._updates.forget(address)
                 self._forget_calls(address)
                 self._transport.disconnect(address)
 
     def _forget_calls(self, address: str) -> None:
-        """Drop what an instance told of its calls."""
+        """Drop the calls that an instance reported."""
         for engine in self.engines.values():
             engine.book.usage.forget_instance(address)
 
@@ -255,7 +264,7 @@
         return Pulse(
             self._zone,
             self.fence,
-            self._news.serial,
+            self._updates.serial,
             sum(self._members.values()),
             self._is_ready(now),
             self._completeness.is_complete(address),
@@ -264,14 +273,14 @@
         )
 
     def _catch_up(self, message: Subscribe, now: float) -> None:
-        """Send a subscriber what it lacks of what engines hold."""
+        """Send a subscriber the updates of the engines' copies it lacks."""
         known = message.serial if message.fence == self.fence else None
-        sent = self._news.choose(message.address, known, message.is_lacking, now)
-        if sent is CatchUp.CHANGES:
-            changes = pack_changes(self._news.list_since(known))
-            news = News(self._zone, self.fence, known, self._news.serial, changes)
-            self._transport.send(message.address, news)
-        elif sent is CatchUp.ALL:
+        choice = self._updates.choose(message.address, known, message.is_lacking, now)
+        if choice is CatchUp.CHANGES:
+            changes = pack_changes(self._updates.list_since(known))
+            update = News(self._zone, self.fence, known, self._updates.serial, changes)
+            self._transport.send(message.address, update)
+        elif choice is CatchUp.ALL:
             self._transport.send(message.address, self._make_listing())
 
     def _make_listing(self) -> Listing:
@@ -280,37 +289,37 @@
             for name, engine in self.engines.items()
             if engine.book.is_read
         ]
-        return Listing(self._zone, self.fence, self._news.serial, engines)
+        return Listing(self._zone, self.fence, self._updates.serial, engines)
 
-    def _spread(self, engine: OwnedEngine) -> None:
-        """Tell what changed at an engine: at once to those that asked."""
+    def _publish_changes(self, engine: OwnedEngine) -> None:
+        """Notify the requesters of changes, and schedule an update to all."""
         name = engine.endpoint.id
         denied, engine.book.denied = engine.book.denied, []
         for model, reason in denied:
             self._log_denial(engine, model, reason)
-            for address in self._askers.pop((name, model), ()):
+            for address in self._requesters.pop((name, model), ()):
                 self._transport.send(address, Denial(self._zone, name, *model))
         changes, engine.book.changes = engine.book.changes, []
         for model, version in changes:
             self._changes.append(Change(name, *model, version))
             if version >= 0:
                 self._ledger.clear(lambda model=model: self._identify(model))
-                for address in self._askers.pop((name, model), ()):
+                for address in self._requesters.pop((name, model), ()):
                     self._transport.send(address, Loaded(name, *model, version))
         if changes or denied:
-            self._plan_loads()
-        if self._changes and self._news_timer is None:
-            self._news_timer = self._kernel.loop.call_later(
-                NEWS_PERIOD, self._send_news
+            self._schedule_loads()
+        if self._changes and self._updates_timer is None:
+            self._updates_timer = self._kernel.loop.call_later(
+                NEWS_PERIOD, self._send_updates
             )
 
-    def _note_end(self, engine: OwnedEngine) -> None:
-        """Learn that an engine ended: a load on its way may be the cause."""
-        signs = [
+    def _record_crash(self, engine: OwnedEngine) -> None:
+        """Record that an engine crashed: a load in flight may be the cause."""
+        evidence = [
             Sign(self._identify(model), engine.endpoint.id, WEAK, 0.0)
             for model in engine.book.list_arriving()
         ]
-        self._ledger.learn(signs)
+        self._ledger.learn(evidence)
 
     def _identify(self, model: Model) -> bytes:
         return identify_load(model, self._follower.find_version(model))
@@ -318,30 +327,30 @@
     def _log_denial(
         self, engine: OwnedEngine, model: Model, reason: DenialReason
     ) -> None:
-        book = engine.book
+        record = engine.book
         self._kernel.get(Measures).count("roadlift_denied_loads", reason.value)
         log.event(
             "load_denied",
             endpoint=engine.endpoint.id,
             model=str(model),
             reason=reason.value,
-            held=book.count_copies(CopyState.HELD),
-            arriving=book.count_copies(CopyState.ARRIVING),
-            in_use=book.usage.count_used(),
-            running=book.usage.count_running(),
+            held=record.count_copies(CopyState.HELD),
+            arriving=record.count_copies(CopyState.ARRIVING),
+            in_use=record.usage.count_used(),
+            running=record.usage.count_running(),
         )
 
-    def _send_news(self) -> None:
-        """Tell every subscriber what changed since the last time."""
-        self._news_timer = None
+    def _send_updates(self) -> None:
+        """Send every subscriber the changes since the last update."""
+        self._updates_timer = None
         changes, self._changes = self._changes, []
-        since = self._news.add(changes)
+        since = self._updates.add(changes)
         packed = pack_changes(changes)
-        news = News(self._zone, self.fence, since, self._news.serial, packed)
-        self._transport.send_all(self._subscribers, news)
+        update = News(self._zone, self.fence, since, self._updates.serial, packed)
+        self._transport.send_all(self._subscribers, update)
 
 
-def deny(transport: Transport, ask: Ask) -> None:
-    """Tell an instance that what it asked for will not be loaded soon."""
-    denial = Denial(ask.zone, ask.endpoint, ask.base, ask.adapter)
-    transport.send(ask.address, denial)
+def deny(transport: Transport, request: Ask) -> None:
+    """Notify a requester that its adapter will not be loaded soon."""
+    denial = Denial(request.zone, request.endpoint, request.base, request.adapter)
+    transport.send(request.address, denial)
