--- a/roadlift/instance/__init__.py
+++ b/roadlift/instance/__init__.py
@@ -1,1 +1,1 @@
-"""Put the parts of an instance together that serves a platform's routes."""
+"""Components of an instance that serves the routes of a platform."""
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -1,4 +1,4 @@
-"""Tell what the control plane costs: messages, bytes, calls to the store."""
+"""Publish the costs of the control plane: messages, bytes, store calls."""
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
@@ -8,8 +8,8 @@
 from roadlift.instance.platform import Platform
 from roadlift.serving.interfaces import StoreCall
 
-# Seconds between lines of the log and updates of the metrics: some 600 bytes
-# of log each.
+# Seconds between two log lines and updates of the metrics. A line takes some
+# 600 bytes.
 PERIOD = 10.0
 
 log = PartLog("control")
@@ -17,7 +17,7 @@
 
 @parts.register("control")
 class ControlCosts:
-    """Reads the counters of other parts, and passes on what they gained."""
+    """Publishes the counters of other components, and their increments."""
 
     name = "control"
     needs = ("measures", "platform", "transport")
@@ -27,35 +27,35 @@
         self._measures = kernel.get(Measures)
         self._traffic = kernel.get(Transport).traffic
         self._store = kernel.get(Platform).store
-        self._told: dict[Kind, Count] = {}
-        self._told_calls: dict[StoreCall, int] = {}
+        self._published_counts: dict[Kind, Count] = {}
+        self._published_calls: dict[StoreCall, int] = {}
         self._timer = None
 
     def start(self) -> None:
-        """Begin to write lines."""
+        """Begin to publish."""
         self._timer = self._loop.call_every(PERIOD, self._publish)
 
     def close(self) -> None:
-        """Write the last line."""
+        """Publish for the last time."""
         if self._timer is not None:
             self._timer.close()
             self._publish()
 
     def _publish(self) -> None:
-        """Bring the metrics up to date, and log the counts since the start."""
+        """Update the metrics, and log the counts since the start."""
         counts = dict(self._traffic.list_counts())
         calls = dict(self._store.calls)
         for kind, count in counts.items():
-            before = self._told.get(kind, Count(0, 0))
-            gained = count.messages - before.messages
-            self._measures.add("roadlift_messages", gained, *kind)
+            before = self._published_counts.get(kind, Count(0, 0))
+            increment = count.messages - before.messages
+            self._measures.add("roadlift_messages", increment, *kind)
             self._measures.add(
                 "roadlift_message_bytes", count.size - before.size, *kind
             )
         for call, count in calls.items():
-            gained = count - self._told_calls.get(call, 0)
-            self._measures.add("roadlift_store_calls", gained, *call)
-        self._told, self._told_calls = counts, calls
+            increment = count - self._published_calls.get(call, 0)
+            self._measures.add("roadlift_store_calls", increment, *call)
+        self._published_counts, self._published_calls = counts, calls
         log.event(
             "control_costs",
             messages={"/".join(kind): list(count) for kind, count in counts.items()},
--- a/roadlift/instance/measures.py
+++ b/roadlift/instance/measures.py
@@ -1,7 +1,7 @@
-"""Count what an instance of the interface ``routes`` does, and serve it.
+"""Collect and serve the metrics of an instance of the interface ``routes``.
 
-The counters and histograms are read as text at an address of their own, in
-the format of Prometheus. docs/ref/metrics.md is generated from MEASURES.
+They are served at an address of their own in the text format of Prometheus.
+docs/ref/metrics.md is generated from MEASURES.
 """
 
 from typing import NamedTuple
@@ -18,14 +18,14 @@
 from roadlift.relay.upstream import Address
 
 PATH = "/metrics"
-# Upper bounds in seconds: around the objectives of some tenths of a second
-# that callers have, and up to the longest that a call may take.
+# Upper bounds of the histograms' buckets in seconds: around the usual latency
+# objectives of some tenths of a second, and up to the longest call.
 BUCKETS = (0.025, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
 _KINDS = {"counter": Counter, "gauge": Gauge, "histogram": Histogram}
 
 
 class Measure(NamedTuple):
-    """One metric; ``advice`` is what an operator does when it rises."""
+    """One metric; ``advice`` tells operators what to do when it rises."""
 
     name: str
     kind: str
@@ -42,7 +42,7 @@
         "calls",
         ("service", "outcome", "late"),
         "Calls that ended, by outcome: served, refused, failed, cancelled, cut.",
-        "Look at the logs' `call_ended` of that outcome; its `error` has the cause.",
+        "See the `call_ended` events of that outcome; `error` has the cause.",
     ),
     Measure(
         "roadlift_first_seconds",
@@ -50,7 +50,7 @@
         "s",
         ("service",),
         "Time from a call's arrival to the first byte of its answer.",
-        "See whether waits for loads rise with it, or one engine's pace.",
+        "Check whether waits for loads rise with it, or one engine became slow.",
     ),
     Measure(
         "roadlift_call_seconds",
@@ -66,7 +66,7 @@
         "s",
         ("service",),
         "Time that calls waited for their adapter, where they had to.",
-        "Look for `load_denied`, orders without an answer, and zones without owner.",
+        "Check for `load_denied`, unanswered orders and zones without an owner.",
     ),
     Measure(
         "roadlift_predicted_waits",
@@ -75,7 +75,7 @@
         ("service", "outcome"),
         "Calls that began to wait for a load as it was predicted in time, by what "
         "came: loaded, or overdue and refused.",
-        "Many overdue: look for `load_denied` and orders without an answer.",
+        "Many overdue: check for `load_denied` and unanswered orders.",
     ),
     Measure(
         "roadlift_refusals",
@@ -83,7 +83,7 @@
         "requests",
         ("error",),
         "Requests refused before a route was followed, by error code.",
-        "`no_configuration`: the store can't be read since the start.",
+        "`no_configuration`: the store could not be read since the start.",
     ),
     Measure(
         "roadlift_failed_sends",
@@ -91,7 +91,7 @@
         "sends",
         ("service", "error", "given_up"),
         "Sends to endpoints that failed, and why the call was not sent again.",
-        "`retry budget spent`: an endpoint or all fail; see the ejections.",
+        "`retry budget spent`: one or all endpoints fail; see the ejections.",
     ),
     Measure(
         "roadlift_limited_endpoints",
@@ -99,7 +99,7 @@
         "endpoints",
         ("service",),
         "Endpoints that name a limit of calls, as this instance knows them.",
-        "See `limit_changed`; the endpoints are in need.",
+        "See `limit_changed`; these endpoints are rate-limited.",
     ),
     Measure(
         "roadlift_endpoint_limits",
@@ -107,7 +107,7 @@
         "calls a second",
         ("service",),
         "The sum of the limits that endpoints name.",
-        "Below what is asked for: calls are refused as `limit_reached`.",
+        "Below the demand: calls are refused as `limit_reached`.",
     ),
     Measure(
         "roadlift_limited_sends",
@@ -116,7 +116,7 @@
         ("service", "outcome"),
         "Sends asked for at such endpoints: granted, denied, expired before they "
         "began, or, where no owner was heard, unheard and floor, by an own part.",
-        "`unheard`: the way to the owner of the endpoint's zone is cut.",
+        "`unheard`: the owner of the endpoint's zone can't be reached.",
     ),
     Measure(
         "roadlift_leaving_endpoints",
@@ -124,7 +124,8 @@
         "endpoints",
         ("service",),
         "Endpoints that said to this instance that they leave.",
-        "See `endpoint_leaving`; all of a service: calls are refused until others are.",
+        "See `endpoint_leaving`; if all of a service drain, its calls are refused "
+        "until others are ready.",
     ),
     Measure(
         "roadlift_resting_endpoints",
@@ -132,7 +133,7 @@
         "endpoints",
         ("service",),
         "Endpoints that asked this instance for time without calls.",
-        "See `endpoint_resting`; all of a service: calls are refused meanwhile.",
+        "See `endpoint_resting`; if all of a service back off, calls are refused.",
     ),
     Measure(
         "roadlift_held_sends",
@@ -141,7 +142,7 @@
         ("service",),
         "Sends held back before their first byte, as the endpoint had said "
         "meanwhile that it leaves or wants rest, or its entry drains or is gone.",
-        "Many: calls wait long for connections or sends.",
+        "Many: calls wait long for connections or permits.",
     ),
     Measure(
         "roadlift_unknown_headers",
@@ -149,7 +150,7 @@
         "headers",
         ("service",),
         "Headers of endpoints' answers that no table of the adapter lists.",
-        "See `header_unknown`: endpoints may say what nobody acts on.",
+        "See `header_unknown`: endpoints may send information that is ignored.",
     ),
     Measure(
         "roadlift_ejections",
@@ -157,7 +158,7 @@
         "ejections",
         ("service",),
         "Endpoints that were passed over for what became of their calls.",
-        "Look at the endpoint; its id is in `endpoint_ejected`.",
+        "Inspect the endpoint; its id is in `endpoint_ejected`.",
     ),
     Measure(
         "roadlift_endpoint_ends",
@@ -165,7 +166,7 @@
         "ends",
         ("service",),
         "Endpoints that ended while they ran calls of this instance.",
-        "Look for `endpoint_ended` and `work_barred`: one call may be the cause.",
+        "Check for `endpoint_ended` and `work_barred`: one call may be the cause.",
     ),
     Measure(
         "roadlift_barred_work",
@@ -173,7 +174,7 @@
         "calls and loads",
         (),
         "Calls and loads that are refused as endpoints ended under the same.",
-        "`work_barred` has their identities; deleting the row lets one in again.",
+        "`work_barred` has their identities; deleting a row admits its work again.",
     ),
     Measure(
         "roadlift_organisation_calls",
@@ -182,7 +183,7 @@
         ("organisation", "outcome"),
         "Calls of organisations that ended, by outcome, or refused as over their "
         "allowance; beyond 64 organisations all others are one.",
-        "`over_allowance`: see `call_refused` for the part, the use and the demand.",
+        "`over_allowance`: see `call_refused` for the share, the use and the demand.",
     ),
     Measure(
         "roadlift_allowance_part",
@@ -191,7 +192,7 @@
         ("organisation",),
         "Part of an organisation's allowance that is this instance's, of the 32 that "
         "are asked for most; it binds while the allowance is nearly used up.",
-        "Far below the instance's part of the calls: see if its aggregator is heard.",
+        "Far below its share of the calls: check the link to the aggregator.",
     ),
     Measure(
         "roadlift_configuration_age_seconds",
@@ -199,7 +200,7 @@
         "s",
         (),
         "Time for which a change of the configuration may have gone unnoticed here.",
-        "Near `revoke_ms` calls with keys are refused: see if the store is reached.",
+        "Near `revoke_ms` calls with keys are refused: check the link to the store.",
     ),
     Measure(
         "roadlift_running_calls",
@@ -207,7 +208,7 @@
         "calls",
         (),
         "Calls that this instance has taken and not ended.",
-        "Compare with the other instances: the balancer spreads by caller.",
+        "Compare with the other instances: the balancer distributes by caller.",
     ),
     Measure(
         "roadlift_orders",
@@ -215,7 +216,7 @@
         "orders",
         ("action", "result"),
         "Orders to engines by result; `unknown` had no answer.",
-        "`unknown` or `conflict`: engines answer late, or another owner orders.",
+        "`unknown` or `conflict`: engines answer late, or another owner is active.",
     ),
     Measure(
         "roadlift_denied_loads",
@@ -240,7 +241,7 @@
         "changes",
         ("change",),
         "Leases gained, lost and given back.",
-        "`lost`: the store was slow or away, or the instance stood still.",
+        "`lost`: the store was slow or unavailable, or the instance was suspended.",
     ),
     Measure(
         "roadlift_configuration_version",
@@ -248,7 +249,7 @@
         "version",
         (),
         "The configuration in force.",
-        "One that stays behind the others' can't read the store.",
+        "An instance whose version stays older than others' can't read the store.",
     ),
     Measure(
         "roadlift_store_era",
@@ -264,7 +265,7 @@
         "reads",
         ("table",),
         "Reads of the platform's store that failed.",
-        "Compare instances: one alone is cut off or turned away.",
+        "Compare instances: a single one is disconnected or rejected.",
     ),
     Measure(
         "roadlift_messages",
@@ -272,7 +273,7 @@
         "messages",
         ("message", "direction"),
         "Messages with other instances, by type, `out` or `in`.",
-        "Compare instances: an owner's grow with the instances that it tells.",
+        "Compare instances: an owner's grow with its number of subscribers.",
     ),
     Measure(
         "roadlift_message_bytes",
@@ -280,7 +281,7 @@
         "bytes",
         ("message", "direction"),
         "Their bytes, without those of TCP.",
-        "An owner's `out` near its link's rate: its zone's loads are held up.",
+        "An owner's `out` near its link's rate: its zone's loads are delayed.",
     ),
     Measure(
         "roadlift_store_calls",
@@ -288,7 +289,7 @@
         "calls",
         ("action", "table"),
         "Calls to the platform's store.",
-        "Many `follow` of an instance that owns nothing: no owner reads for it.",
+        "Many `follow` of an instance that owns nothing: no owner relays rows to it.",
     ),
     Measure(
         "roadlift_dropped_lines",
@@ -296,7 +297,7 @@
         "lines",
         (),
         "Log lines dropped since the start, as nobody read standard output.",
-        "Look at what reads the output; calls are not held by it.",
+        "Check what reads the output; calls are not delayed by it.",
     ),
 )
 
@@ -315,9 +316,9 @@
         self._kernel = kernel
         self._registry = CollectorRegistry()
         self._metrics = {
-            one.name: _make_metric(one, self._registry) for one in MEASURES
+            measure.name: _make_metric(measure, self._registry) for measure in MEASURES
         }
-        self._found: dict[tuple[str, tuple[str, ...]], object] = {}
+        self._cache: dict[tuple[str, tuple[str, ...]], object] = {}
         self._server: Server | None = None
         address = kernel.settings.metrics
         if address:
@@ -325,7 +326,7 @@
             self._server = Server(kernel.loop, Address.parse(address), self, limits)
 
     def start(self) -> None:
-        """Serve the metrics; callers are served also where that fails."""
+        """Serve the metrics; a failure does not stop the instance."""
         if self._server is None:
             return
         try:
@@ -336,7 +337,7 @@
             log.error("The metrics can't be served at %s: %s.", address, error)
 
     def close(self) -> None:
-        """Serve no more."""
+        """Stop serving."""
         if self._server is not None:
             self._server.close()
 
@@ -349,7 +350,7 @@
         self._find(name, labels).inc(amount)
 
     def observe(self, name: str, value: float, *labels: str) -> None:
-        """Put a value into a histogram."""
+        """Add a value to a histogram."""
         self._find(name, labels).observe(value)
 
     def set(self, name: str, value: float, *labels: str) -> None:
@@ -371,20 +372,23 @@
         caller.answer(200, {"Content-Type": CONTENT_TYPE_LATEST}, self.render())
 
     def _find(self, name: str, labels: tuple[str, ...]):
-        """Return a metric with its labels; looking labels up takes 7 us."""
-        found = self._found.get((name, labels))
+        """Return a metric with its labels.
+
+        They are cached: the client library takes 7 us to look labels up.
+        """
+        found = self._cache.get((name, labels))
         if found is not None:
             return found
         try:
             metric = self._metrics[name]
         except KeyError:
             raise ImproperlyConfigured(f"no metric is named {name!r}") from None
-        found = self._found[name, labels] = metric.labels(*labels) if labels else metric
+        found = self._cache[name, labels] = metric.labels(*labels) if labels else metric
         return found
 
 
-def _make_metric(one: Measure, registry: CollectorRegistry):
-    options = {"buckets": BUCKETS} if one.kind == "histogram" else {}
-    return _KINDS[one.kind](
-        one.name, one.meaning, one.labels, registry=registry, **options
+def _make_metric(measure: Measure, registry: CollectorRegistry):
+    options = {"buckets": BUCKETS} if measure.kind == "histogram" else {}
+    return _KINDS[measure.kind](
+        measure.name, measure.meaning, measure.labels, registry=registry, **options
     )
--- a/roadlift/instance/platform.py
+++ b/roadlift/instance/platform.py
@@ -12,7 +12,7 @@
 def import_plugins(paths: str) -> None:
     """Import packages by their paths, separated by commas.
 
-    The folder of each package is put on Python's path, behind the others.
+    The folder of each package is appended to Python's path.
     """
     for text in paths.split(","):
         if not text:
@@ -27,7 +27,7 @@
 
 @parts.register("platform")
 class Platform:
-    """The platform's adapter, and its store as this process calls it."""
+    """The platform's adapter, and this process's client of its store."""
 
     name = "platform"
     needs = ()
@@ -37,7 +37,7 @@
         self.store = self.adapter.open_store(kernel)
 
     def start(self) -> None:
-        """Do nothing; the other parts make the calls."""
+        """Do nothing: other components make the calls."""
 
     def close(self) -> None:
-        """Do nothing; the dialer's connections end with the process."""
+        """Do nothing: the dialer's connections end with the process."""
