--- a/tests/instance/measures.feature
+++ b/tests/instance/measures.feature
@@ -1,4 +1,4 @@
-Feature: Metrics are served as text at an address of their own
+Feature: Metrics are served as text at a separate address
 
   Background:
     Given an installation with instances a and b in zone z1 and c in zone z2
@@ -8,7 +8,7 @@
     Given <trouble>
     When <call> is sent to a
     And 2 seconds pass
-    Then the metrics of a hold "<sample>"
+    Then the metrics of a contain "<sample>"
 
     Examples:
       | trouble                        | call                     | sample                                                             |
@@ -21,7 +21,7 @@
       | plain endpoints refuse once next | an idempotent call     | roadlift_failed_sends_total{error="refused_by_endpoint",given_up="no",service="plain"} 1 |
       | all plain endpoints are gone   | an idempotent call       | roadlift_calls_total{late="yes",outcome="refused",service="plain"} 1 |
 
-  Scenario Outline: What the control plane costs is counted
+  Scenario Outline: The costs of the control plane are counted
     When 12 seconds pass
     Then the metrics of the instance of z1 that owns nothing have a sample of "<sample>"
 
@@ -31,16 +31,16 @@
       | roadlift_message_bytes_total{direction="in",message="Digest"}   |
       | roadlift_store_calls_total{action="read",table="servers"}       |
 
-  Scenario: The adapters that calls were served with are logged, each once a line
-    Given the events are kept
+  Scenario: The adapters that served calls are logged, each once a line
+    Given the log events are recorded
     When 3 streams of an adapter are sent to a, and 12 seconds pass
     Then one line of adapters_served has models "base/x"
 
-  Scenario: Each zone's lease is held once
+  Scenario: Each zone's lease has one holder
     Then the instances together hold 2 leases by their metrics
 
-  Scenario Outline: The address answers for the metrics alone
-    When <target> is asked for at the metrics address
+  Scenario Outline: The address serves only the metrics
+    When <target> is requested at the metrics address
     Then the answer is <status>
 
     Examples:
@@ -49,7 +49,7 @@
       | /metrics?a=b | 200    |
       | /            | 404    |
 
-  Scenario: An address that is taken keeps no callers waiting
+  Scenario: A metrics address that is in use does not delay calls
     Given a socket that listens at an address
     When an instance d starts whose metrics have that address
     And an idempotent call is sent to d
--- a/tests/steps/crash_steps.py
+++ b/tests/steps/crash_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls under which engines end."""
+"""Steps on calls that crash engines."""
 
 from behave import given, then, when
 
@@ -10,18 +10,18 @@
 _ZONES = {"a": "z1", "b": "z1", "d": "z1", "c": "z2", "f": "z2", "g": "z2"}
 _SLOTS = 9
 _EVENTS = 20  # Of a stream, 20 ms apart.
-_CONTACT = 3.0  # Seconds within which all that are in touch know what is sure.
-_ALLOWED = 3  # Ends of engines under one call, and runs of it behind that.
-_SPAN = 12.0  # Seconds for which a deadly call comes again.
-_PAUSE = 0.45  # Seconds until it comes again.
-_TROUBLE_AT = 2.0  # Seconds behind the first deadly call.
+_PROPAGATION = 3.0  # Seconds in which evidence reaches all connected instances.
+_ALLOWED = 3  # Crashes of engines by one call, and later runs of it.
+_DURATION = 12.0  # Seconds for which a deadly call is repeated.
+_INTERVAL = 0.45  # Seconds between two repetitions.
+_FAULT_DELAY = 2.0  # Seconds from the first deadly call to the fault.
 
 
 @given(
     "instances a, b and d in zone z1 and c, f and g in zone z2, and {count:d} engines"
 )
 def step_instances(context, count):
-    """Start them, and let everything settle."""
+    """Start them, and wait until they are ready."""
     context.entries = entries = Entries()
     context.add_cleanup(entries.close)
     entries.configure(ROUTES, SERVICES, _SLOTS)
@@ -40,13 +40,13 @@
 
 
 def _pick(context, number):
-    """Return an instance that runs, another for each number."""
+    """Return a running instance, in turn by number, or None."""
     names = [name for name in _ZONES if name in context.entries.entries]
     return names[number % len(names)] if names else None
 
 
 def _call(context, number, target, adapter, body):
-    """Send a call to an instance that runs, if there is one."""
+    """Send a call to a running instance, if there is one."""
     name = _pick(context, number)
     if name is None:
         return None
@@ -59,23 +59,23 @@
 
 
 def _repeat(context, period, send):
-    """Call ``send`` with 0, 1, ... each period, as long as the test lasts."""
+    """Call ``send`` with 0, 1, ... once a period, for the rest of the test."""
 
     def run(number):
-        """Send, and plan the next."""
+        """Send, and schedule the next."""
         send(number)
-        plan = lambda: run(number + 1)
-        context.entries.installation.timeline.call_later(period, plan)
+        repeat = lambda: run(number + 1)
+        context.entries.installation.timeline.call_later(period, repeat)
 
     run(0)
 
 
 @given("callers of {count:d} adapters, {rate:d} calls a second")
 def step_callers(context, count, rate):
-    """Send streams, each of its own, to the instances in turn."""
+    """Send streams, all different, to the instances in turn."""
 
     def send(number):
-        """Send one."""
+        """Send one stream."""
         adapter = f"x{number * 7 % count}"
         caller = _call(context, number, f"/long/{number}", adapter, b"body")
         context.others.append(caller)
@@ -84,17 +84,17 @@
     context.entries.advance(3.0)
 
 
-@given("a call that all callers ask for, {rate:d} times a second")
+@given("a call that all callers send, {rate:d} times a second")
 def step_popular(context, rate):
-    """Send the same stream again and again."""
+    """Send the same stream repeatedly."""
     send = lambda number: _call(context, number, "/long/same", "x0", b"same")
     _repeat(context, 1.0 / rate, send)
     context.entries.advance(1.0)
 
 
-@given("engines begin {again} when they are back")
+@given("engines restart {again}")
 def step_again(context, again):
-    """Choose whether engines that start again keep their names."""
+    """Choose whether engines keep their names when they restart."""
     for runner in context.entries.installation.runners.values():
         if again == "under the same name":
             runner.restart()
@@ -104,15 +104,15 @@
     context.entries.advance(2.0)
 
 
-@given("engines let calls wait for {seconds:g} seconds")
+@given("engines queue calls for {seconds:g} seconds")
 def step_queue(context, seconds):
     """Let calls begin to run later."""
     for runner in context.entries.installation.runners.values():
         runner.queue_time = seconds
 
 
-def _plan_deadly(context, calls):
-    """Send deadly calls again and again."""
+def _schedule_deadly(context, calls):
+    """Send deadly calls repeatedly."""
     count = 3 if calls.startswith("three deadly calls") else 1
     copies = 3 if calls.endswith("at once") else 1
     is_plain = "plain" in calls
@@ -121,16 +121,16 @@
         context.entries.installation.deadly.add(body)
 
         def send(number, body=body, which=which):
-            """Send one, or as many copies as come at once."""
+            """Send one call, or several copies at once."""
             for copy in range(copies):
-                is_alone = calls.endswith("at one instance")
-                place = 0 if is_alone else which + number * copies + copy
+                is_single = calls.endswith("at one instance")
+                index = 0 if is_single else which + number * copies + copy
                 prefix = "/again" if "resumable" in calls else "/long"
                 target = f"/idem/{which}" if is_plain else f"{prefix}/deadly{which}"
                 adapter = "" if is_plain else f"x{which}"
-                _call(context, place, target, adapter, body)
+                _call(context, index, target, adapter, body)
 
-        _repeat(context, _PAUSE, send)
+        _repeat(context, _INTERVAL, send)
 
 
 def _find_owner(context):
@@ -152,110 +152,110 @@
 
 @when("{calls} are sent while {trouble}")
 def step_deadly(context, calls, trouble):
-    """Send deadly calls, and bring trouble a little later."""
+    """Send deadly calls, and cause a fault a little later."""
     entries = context.entries
-    if trouble == "zones hear nothing of each other":
+    if trouble == "zones can't reach each other":
         entries.is_zone_cut = True
     context.others.clear()
-    _plan_deadly(context, calls)
-    entries.advance(_TROUBLE_AT)
+    _schedule_deadly(context, calls)
+    entries.advance(_FAULT_DELAY)
     if trouble == "the owner of z1 is killed":
         _restart(context, [_find_owner(context)])
     elif trouble == "all instances are killed and restart":
         _restart(context, list(entries.entries))
-    elif trouble == "the store is silent":
+    elif trouble == "the store does not answer":
         entries.installation.store.is_down = True
-    entries.advance(_SPAN)
+    entries.advance(_DURATION)
 
 
-@when("engines end one by one for {span:g} seconds, each {gap:g} seconds")
-def step_ends(context, span, gap):
-    """End engines for a reason that lies in no call."""
+@when("engines crash one by one for {duration:g} seconds, one each {gap:g} seconds")
+def step_crash(context, duration, gap):
+    """Crash engines for a reason that lies in no call."""
     context.others.clear()
-    for number in range(int(span / gap)):
+    for number in range(int(duration / gap)):
         runners = context.entries.installation.runners
         names = sorted(name for name in runners if name.startswith("e"))
         runners[names[number * 5 % len(names)]].crash()
         context.entries.advance(gap)
 
 
-@then("no deadly call ran more than 3 times later than 3 seconds behind its third end")
+@then("no deadly call ran more than 3 times later than 3 seconds after its third crash")
 def step_runs(context):
     """Count the runs of each deadly call."""
     for body, runs in context.entries.installation.deadly_runs.items():
         third = [run.at for run in runs][_ALLOWED - 1 : _ALLOWED]
-        late = [run for run in runs if third and run.at > third[0] + _CONTACT]
+        late = [run for run in runs if third and run.at > third[0] + _PROPAGATION]
         assert len(late) <= _ALLOWED, (body, len(runs), late[:5])
 
 
-@then("{most:d} engines ended at most")
-def step_ended(context, most):
-    """Count the engines that ended under deadly calls."""
-    ended = context.entries.installation.ended
-    assert len(ended) <= most, ended
+@then("{most:d} engines crashed at most")
+def step_crashed(context, most):
+    """Count the engines that crashed under deadly calls."""
+    crashed = context.entries.installation.ended
+    assert len(crashed) <= most, crashed
 
 
 @then("{least:d} in 100 of the other calls were served")
 def step_served(context, least):
-    """Look at the calls that harm no engine."""
-    sent = [one for one in context.others if one is not None]
-    done = [one for one in sent if one.is_whole or one.error or one.is_cut]
-    served = sum(one.is_whole and one.status == 200 for one in done)
+    """Check the answers to harmless calls."""
+    sent = [call for call in context.others if call is not None]
+    done = [call for call in sent if call.is_whole or call.error or call.is_cut]
+    served = sum(call.is_whole and call.status == 200 for call in done)
     assert served >= least / 100 * len(done), (served, len(done), len(sent))
 
 
-@then("no call was refused for the ends of engines")
+@then("no call was refused for crashes of engines")
 def step_not_refused(context):
-    """Look at the answers to all calls."""
+    """Check the answers to all calls."""
     found = [
-        one.error
-        for one in context.entries.callers
-        if one.error is not None and one.error.code == "ends_endpoints"
+        call.error
+        for call in context.entries.callers
+        if call.error is not None and call.error.code == "ends_endpoints"
     ]
     assert not found, (len(found), found[0])
 
 
-@when("an adapter whose weights end engines is asked for, each {gap:g} seconds")
+@when("an adapter whose weights crash engines is requested each {gap:g} seconds")
 def step_weights(context, gap):
-    """Call an adapter that no engine bears, at the instances in turn."""
+    """Call an adapter that crashes engines, at the instances in turn."""
     context.others.clear()
     context.entries.installation.deadly_adapters.add("deadly")
     send = lambda number: _call(context, number, f"/long/w{number}", "deadly", b"")
     _repeat(context, gap, send)
-    context.entries.advance(_SPAN)
+    context.entries.advance(_DURATION)
 
 
-@then("{most:d} engines ended for its weights at most")
+@then("{most:d} engines crashed by its weights at most")
 def step_loads(context, most):
     """Count the engines that began to load it."""
     found = context.entries.installation.deadly_loads
     assert len(set(found)) <= most, found
 
 
-@given("a configuration that breaks what takes it")
-def step_breaking(context):
-    """Let a listener of each instance raise once."""
+@given("a configuration that makes a listener fail")
+def step_failing(context):
+    """Add a listener to each instance that raises once."""
 
-    def break_once(entry):
+    def fail_once(entry):
         """Raise for the next configuration."""
         follower = entry.kernel.get(Follower)
 
-        def take(configuration):
-            """Raise, and listen no more."""
-            follower.on_configuration.remove(take)
+        def handle(configuration):
+            """Stop listening, and raise."""
+            follower.on_configuration.remove(handle)
             raise KeyError(configuration.version)
 
-        follower.on_configuration.append(take)
+        follower.on_configuration.append(handle)
 
     for entry in context.entries.entries.values():
-        break_once(entry)
+        fail_once(entry)
     context.entries.configure(ROUTES, SERVICES, _SLOTS)
     context.entries.advance(2.0)
 
 
 @then("the next configuration is in force everywhere {seconds:g} seconds later")
 def step_next(context, seconds):
-    """Write one more and wait."""
+    """Write one more, and wait."""
     context.entries.configure(ROUTES, SERVICES, _SLOTS)
     context.entries.advance(seconds)
     found = {
--- a/tests/steps/deadly_many_steps.py
+++ b/tests/steps/deadly_many_steps.py
@@ -1,4 +1,4 @@
-"""Steps on many calls that end engines at once, drawn at random."""
+"""Steps on many random calls that crash engines at the same time."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from tests.support.configuration import BASE
 
-_GAP = (0.2, 0.8)  # Seconds until a deadly call comes again.
+_INTERVAL = (0.2, 0.8)  # Seconds until a deadly call is repeated.
 
 
 def _call(context, target, adapter, body):
@@ -17,61 +17,61 @@
         "token-count": "10,20",
         "prompt-prefix": "ab:10",
     }
-    name = context.draw.choice(names)
+    name = context.rng.choice(names)
     return context.entries.call(name, target, headers, body=body)
 
 
 @given(
-    "callers of {count:d} adapters, drawn at random by seed {seed:d}, {rate:g} calls a"
-    " second"
+    "callers of {count:d} adapters, chosen at random with seed {seed:d}, {rate:g} calls"
+    " a second"
 )
 def step_callers(context, count, seed, rate):
-    """Send streams, each of its own, as long as the test lasts."""
-    context.draw = random.Random(seed)
+    """Send streams, all different, for the rest of the test."""
+    context.rng = random.Random(seed)
     context.adapters = count
     context.others = []
     timeline = context.entries.installation.timeline
 
     def run(number):
-        """Send one, and plan the next."""
-        adapter = f"x{context.draw.randrange(count)}"
+        """Send one stream, and schedule the next."""
+        adapter = f"x{context.rng.randrange(count)}"
         context.others.append(_call(context, f"/long/{number}", adapter, b"body"))
-        pause = context.draw.expovariate(rate)
-        timeline.call_later(pause, lambda: run(number + 1))
+        delay = context.rng.expovariate(rate)
+        timeline.call_later(delay, lambda: run(number + 1))
 
     run(0)
     context.entries.advance(3.0)
 
 
 @when(
-    "{count:d} deadly calls that begin within {spread:g} seconds come again and again"
-    " for {span:g} seconds"
+    "{count:d} deadly calls that begin within {period:g} seconds are repeated for"
+    " {duration:g} seconds"
 )
-def step_deadly(context, count, spread, span):
+def step_deadly(context, count, period, duration):
     """Send them, and wait until the last is over."""
     context.others.clear()
     installation = context.entries.installation
-    ends_at = installation.clock.now() + span
+    ends_at = installation.clock.now() + duration
 
-    def again(which, body):
-        """Send one, and plan its return."""
+    def repeat(which, body):
+        """Send one call, and schedule its repetition."""
         if installation.clock.now() > ends_at:
             return
         _call(context, f"/long/deadly{which}", f"x{which % context.adapters}", body)
-        pause = context.draw.uniform(*_GAP)
-        installation.timeline.call_later(pause, lambda: again(which, body))
+        delay = context.rng.uniform(*_INTERVAL)
+        installation.timeline.call_later(delay, lambda: repeat(which, body))
 
     for which in range(count):
         body = f"deadly {which}".encode()
         installation.deadly.add(body)
-        begin = lambda which=which, body=body: again(which, body)
-        installation.timeline.call_later(context.draw.random() * spread, begin)
-    context.entries.advance(span + 2.0)
+        begin = lambda which=which, body=body: repeat(which, body)
+        installation.timeline.call_later(context.rng.random() * period, begin)
+    context.entries.advance(duration + 2.0)
 
 
-@then("no other call was refused for the ends of engines")
+@then("no other call was refused for crashes of engines")
 def step_not_refused(context):
-    """Look at the answers to calls that harm no engine."""
-    errors = [one.error for one in context.others if one.error is not None]
+    """Check the answers to harmless calls."""
+    errors = [call.error for call in context.others if call.error is not None]
     found = [error for error in errors if error.code == "ends_endpoints"]
     assert not found, (len(found), len(context.others), found[0])
--- a/tests/steps/standing_steps.py
+++ b/tests/steps/standing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what endpoints say of themselves in answers."""
+"""Steps on the availability that endpoints advertise in answers."""
 
 from collections import Counter
 
@@ -14,89 +14,87 @@
     step_served,
 )
 
-_PARTS = {"all": 1.0, "half of the": 0.5, "a fifth of the": 0.2}
+_FRACTIONS = {"all": 1.0, "half of the": 0.5, "a fifth of the": 0.2}
 
 
 @given(
-    "{count:d} instances, {engines:d} engines and {plain:d} plain endpoints that say"
-    " things of themselves"
+    "{count:d} instances, {engines:d} engines and {plain:d} plain endpoints that"
+    " advertise availability"
 )
 def step_start(context, count, engines, plain):
-    """Start them, and let everything settle."""
+    """Start them, and wait until they are ready."""
     step_instances(context, count, engines, plain)
 
 
-@when("the store falls silent")
-def step_silence(context):
+@when("the store stops answering")
+def step_stop_store(context):
     """Let the store answer nothing from now on."""
     context.entries.installation.store.is_down = True
 
 
 def _begin(context, endpoint):
-    """Return the endpoints that are meant; calls are counted from now on."""
+    """Return the endpoints of a description; forget earlier calls."""
     context.streams.clear()
     context.plain_calls.clear()
-    context.meant = find_endpoints(context, endpoint)
-    return context.meant
+    context.chosen = find_endpoints(context, endpoint)
+    return context.chosen
 
 
-@when("the word of leaving is given by {endpoint} for {seconds:g} seconds")
-def step_leave(context, endpoint, seconds):
-    """Let endpoints say so in all their answers, and nowhere else."""
+@when("a drain notice is given by {endpoint} for {seconds:g} seconds")
+def step_drain(context, endpoint, seconds):
+    """Let endpoints send it in all their answers, and nowhere else."""
     for runner in _begin(context, endpoint):
         runner.leave()
     context.entries.advance(seconds)
 
 
-@when(
-    "the word of leaving is given by {endpoint} for {seconds:g} seconds while {trouble}"
-)
-def step_leave_while(context, endpoint, seconds, trouble):
-    """Let endpoints say so, and bring trouble a third of the way."""
-    step_leave(context, endpoint, seconds / 3)
+@when("a drain notice is given by {endpoint} for {seconds:g} seconds while {trouble}")
+def step_drain_while(context, endpoint, seconds, trouble):
+    """Let endpoints give notice, and cause a fault after a third."""
+    step_drain(context, endpoint, seconds / 3)
     bring_trouble(context, trouble)
     context.entries.advance(seconds * 2 / 3)
 
 
 @when(
-    "{part} calls are turned away by {endpoint} for {seconds:g} seconds, with {rest}"
-    " seconds of rest"
+    "{part} calls are rejected by {endpoint} for {seconds:g} seconds, with a back-off"
+    " of {delay} seconds"
 )
-def step_turn_away(context, part, endpoint, seconds, rest):
-    """Let endpoints turn a part of the calls away for a while."""
+def step_reject(context, part, endpoint, seconds, delay):
+    """Let endpoints reject a part of the calls for a while."""
     for runner in _begin(context, endpoint):
-        runner.want_rest(rest, _PARTS[part])
+        runner.want_rest(delay, _FRACTIONS[part])
     context.entries.advance(seconds)
 
 
-@when("{word} is said by {endpoint} for {seconds:g} seconds")
-def step_say_word(context, word, endpoint, seconds):
-    """Let endpoints leave, or turn half of the calls away."""
-    if word == "leaving":
-        step_leave(context, endpoint, seconds)
+@when("{header} is sent by {endpoint} for {seconds:g} seconds")
+def step_send_header(context, header, endpoint, seconds):
+    """Let endpoints drain, or reject half of the calls."""
+    if header == "a drain notice":
+        step_drain(context, endpoint, seconds)
     else:
-        step_turn_away(context, "half of the", endpoint, seconds, "3")
+        step_reject(context, "half of the", endpoint, seconds, "3")
 
 
-@then("no rest was broken where any was asked for")
-def step_none_broken(context):
-    """Look at what the endpoints got; where they leave, there are none."""
+@then("no back-off was violated where any was requested")
+def step_none_violated(context):
+    """Check the calls at the endpoints; draining ones request none."""
     entries = context.entries
-    broken = entries.installation.statements.list_broken(entries.sent)
-    assert not broken, (len(broken), broken[0])
+    violated = entries.installation.statements.list_broken(entries.sent)
+    assert not violated, (len(violated), violated[0])
 
 
-@when("it takes all calls again")
-def step_take(context):
-    """Turn no more calls away."""
-    for runner in context.meant:
+@when("it accepts all calls again")
+def step_accept(context):
+    """Reject no further calls."""
+    for runner in context.chosen:
         runner.want_rest(None)
 
 
-@when("it says nothing any more, and its entry lapses and comes back")
+@when("it stops sending the notice, and its entry lapses and comes back")
 def step_lapse(context):
-    """Let the entry vanish, and say later that the endpoint is ready."""
-    (runner,) = context.meant
+    """Remove the entry, and later list the endpoint as ready."""
+    (runner,) = context.chosen
     store = context.entries.installation.store
     runner.is_leaving = False
     store.delete("servers", runner.id)
@@ -105,18 +103,18 @@
     context.entries.advance(1.0)
 
 
-@when("it starts again under its name")
+@when("it restarts under its name")
 def step_restart(context):
-    """Start the endpoint again; it has said nothing then."""
-    (runner,) = context.meant
+    """Restart the endpoint, without a notice."""
+    (runner,) = context.chosen
     runner.restart()
     context.entries.installation.store.put("servers", runner.id, runner.describe())
     context.entries.advance(1.0)
 
 
-@when("a plain endpoint says that it leaves, in the answer to one call")
-def step_leave_once(context):
-    """Send single calls until one reaches an endpoint that leaves."""
+@when("a plain endpoint gives a drain notice in the answer to one call")
+def step_drain_once(context):
+    """Send single calls until one reaches the draining endpoint."""
     entries = context.entries
     (context.runner,) = find_endpoints(context, "a plain endpoint")
     context.runner.leave()
@@ -125,11 +123,9 @@
         entries.advance(0.01)
 
 
-@when(
-    'the header "{header}" is borne by answers of all engines for {seconds:g} seconds'
-)
-def step_say(context, header, seconds):
-    """Let an engine bear a header that no table lists."""
+@when('the header "{header}" is sent in answers of all engines for {seconds:g} seconds')
+def step_send_unknown(context, header, seconds):
+    """Let engines send a header that no table lists."""
     name, _, value = header.partition(": ")
     for runner in find_endpoints(context, "all engines"):
         runner.more = {name: value}
@@ -137,28 +133,28 @@
     context.entries.advance(seconds)
 
 
-@then("no call was sent on too late to an endpoint that leaves")
+@then("no call was sent too late to a draining endpoint")
 def step_not_late(context):
-    """Look at what the endpoints got, and from whom."""
+    """Check the calls at the endpoints, and who sent them."""
     entries = context.entries
     late = entries.installation.statements.list_late(entries.sent)
     assert not late, (len(late), max(late, key=lambda one: one.after))
 
 
-@then("no rest was broken")
-def step_not_broken(context):
-    """Look at what the endpoints got, and from whom."""
+@then("no back-off was violated")
+def step_not_violated(context):
+    """Check the calls at the endpoints, and who sent them."""
     entries = context.entries
-    watch = entries.installation.statements
-    broken = watch.list_broken(entries.sent)
-    assert watch.count_rests() > 0
-    worst = max(broken, key=lambda one: one.calls, default=None)
-    assert not broken, (len(broken), watch.count_rests(), worst)
+    statements = entries.installation.statements
+    violated = statements.list_broken(entries.sent)
+    assert statements.count_rests() > 0
+    worst = max(violated, key=lambda one: one.calls, default=None)
+    assert not violated, (len(violated), statements.count_rests(), worst)
 
 
-@then("an instance is turned away {most:d} times at most by an endpoint")
-def step_turned(context, most):
-    """Count the rests that were asked of each process."""
+@then("an instance is rejected {most:d} times at most by an endpoint")
+def step_rejected(context, most):
+    """Count the back-offs that were requested from each process."""
     entries = context.entries
     found = Counter(entries.installation.statements.list_asked(entries.sent))
     assert found and max(found.values()) <= most, found.most_common(3)
@@ -166,37 +162,40 @@
 
 @then("at least {least:d} in 100 of each kind of calls are served")
 def step_both_served(context, least):
-    """Look at the callers that have their answer."""
+    """Compare the served calls with all that were answered."""
     step_served(context, least, "streams")
     step_served(context, least, "plain calls")
 
 
 def _count_calls(context, seconds):
-    """Return the calls that an endpoint gets in some seconds from now on."""
-    (runner,) = context.meant
-    watch, clock = context.entries.installation.limits, context.entries.installation
-    since = clock.clock.now()
+    """Return how many calls an endpoint gets in the next seconds."""
+    (runner,) = context.chosen
+    counter, installation = (
+        context.entries.installation.limits,
+        context.entries.installation,
+    )
+    since = installation.clock.now()
     context.entries.advance(seconds)
-    return watch.count_calls(runner.id, since, clock.clock.now())
+    return counter.count_calls(runner.id, since, installation.clock.now())
 
 
 @then("it gets no call in the next {seconds:g} seconds")
 def step_no_call(context, seconds):
-    """Count what comes to the endpoint."""
+    """Count the calls at the endpoint."""
     calls = _count_calls(context, seconds)
     assert calls == 0, calls
 
 
 @then("it gets {least:d} calls in the next {seconds:g} seconds")
 def step_calls(context, least, seconds):
-    """Count what comes to the endpoint."""
+    """Count the calls at the endpoint."""
     calls = _count_calls(context, seconds)
     assert calls >= least, calls
 
 
 @then("{seconds:g} seconds later all instances know it")
 def step_known(context, seconds):
-    """Look into the lists of all instances."""
+    """Check the directories of all instances."""
     context.entries.advance(seconds)
     for name, entry in context.entries.entries.items():
         known = entry.kernel.get(Follower).directory.get(context.runner.id)
@@ -205,68 +204,70 @@
 
 @then("plain calls are refused within {most:g} seconds as {code}")
 def step_refused(context, most, code):
-    """Look at the answers of calls that are sent now, one to each instance."""
+    """Check the answers to calls that are sent now, one to each instance."""
     entries = context.entries
     calls = [
         entries.call(name, f"/idem/{name}", {"deadline-ms": "1000"})
         for name in entries.entries
     ]
     entries.advance(most)
-    codes = [one.error and one.error.code for one in calls]
+    codes = [call.error and call.error.code for call in calls]
     assert set(codes) == {code}, codes
-    context.returns = [float(one.error_headers["Retry-After"]) for one in calls]
+    context.delays = [float(call.error_headers["Retry-After"]) for call in calls]
 
 
-@then("the rests are over when their callers may come back")
-def step_returns(context):
-    """Let the endpoints take calls, and send again when callers come back."""
+@then("the back-offs are over when their callers may retry")
+def step_retries(context):
+    """Let the endpoints accept calls, and send some after the delays."""
     entries = context.entries
-    step_take(context)
-    assert len(set(context.returns)) == len(context.returns), context.returns
+    step_accept(context)
+    assert len(set(context.delays)) == len(context.delays), context.delays
     context.plain_calls.clear()
-    entries.advance(max(context.returns))
+    entries.advance(max(context.delays))
     context.plain_calls.clear()
     entries.advance(2.0)
     step_served(context, 97, "plain calls")
 
 
-@then("each instance tells once of the header {name}")
-def step_told(context, name):
-    """Look at the events."""
-    told = [one for one in context.keeper.events if one["event"] == "header_unknown"]
-    assert {one["header"] for one in told} == {name}, told
-    assert len(told) == len(context.entries.entries), len(told)
-
-
-def _play(standing, event):
-    """Play one event of a history: a time, what, and a number."""
-    at, what, *more = event.split()
-    if what == "leaves":
-        standing.note_leaving(float(at))
-    elif what == "rest":
-        standing.note_rest(float(more[0]), 0.5, float(at))
-    elif what == "sent":
-        standing.note_send(float(at))
+@then("each instance logs the header {name} once")
+def step_logged_once(context, name):
+    """Check the log events."""
+    logged = [
+        event for event in context.recorder.events if event["event"] == "header_unknown"
+    ]
+    assert {event["header"] for event in logged} == {name}, logged
+    assert len(logged) == len(context.entries.entries), len(logged)
+
+
+def _replay(state, event):
+    """Replay one event of a history: a time, a kind, and numbers."""
+    at, kind, *more = event.split()
+    if kind == "leaves":
+        state.note_leaving(float(at))
+    elif kind == "rest":
+        state.note_rest(float(more[0]), 0.5, float(at))
+    elif kind == "sent":
+        state.note_send(float(at))
     else:
-        standing.note_taken(float(more[1]))
+        state.note_taken(float(more[1]))
 
 
 @when('an endpoint\'s history is "{history}", its drain {drain:g} seconds')
 def step_history(context, history, drain):
-    """Learn what an endpoint said, and what was sent to it."""
-    context.standing, context.drain = Standing(), drain
+    """Apply the statements of an endpoint, and the sends to it."""
+    context.state, context.drain = Standing(), drain
     for event in [] if history == "nothing" else history.split(", "):
-        _play(context.standing, event)
+        _replay(context.state, event)
 
 
 @then(
     "at {at:g} it is tried in {wait:g}, {resort} a last resort, and a call {may} be"
     " sent"
 )
-def step_standing(context, at, wait, resort, may):
-    """Ask what it is worth."""
-    standing = context.standing
-    found = standing.measure_rest(at)
+def step_state(context, at, wait, resort, may):
+    """Check what it may be used for."""
+    state = context.state
+    found = state.measure_rest(at)
     assert abs(found - wait) < 1e-6, found
-    assert standing.is_last_resort(context.drain, at) == (resort == "is")
-    assert standing.may_send(context.drain, at) == (may == "may")
+    assert state.is_last_resort(context.drain, at) == (resort == "is")
+    assert state.may_send(context.drain, at) == (may == "may")
--- a/tests/steps/suspension_steps.py
+++ b/tests/steps/suspension_steps.py
@@ -16,9 +16,9 @@
     context.counts_suspension = counts == "counts"
 
 
-@when("the owner of z1 is suspended for {seconds:d} seconds while calls want loads")
+@when("the owner of z1 is suspended for {seconds:d} seconds while calls need loads")
 def step_suspend(context, seconds):
-    """Call adapters that nobody holds, before, meanwhile and behind."""
+    """Call unloaded adapters before, during and after the suspension."""
     entries = context.entries
     owner = next(
         name
@@ -28,7 +28,7 @@
     names = sorted(entries.entries)
 
     def call(number):
-        """Call one, and plan the next."""
+        """Call one, and schedule the next."""
         headers = {
             "model": f"{BASE}/x{number}",
             "token-count": "10,20",
@@ -60,7 +60,7 @@
 
 @given("an operating system whose machine was suspended for {seconds:d} seconds")
 def step_system(context, seconds):
-    """Let only the clock that counts suspended time move on."""
+    """Advance only the clock that counts suspended time."""
     context.clock = BootClock()
     context.before = context.clock.now()
     context.seconds = seconds
@@ -73,7 +73,7 @@
     context.add_cleanup(patch.stop)
 
 
-@then("the clock of the running system has moved on by them")
-def step_moved(context):
+@then("the clock of the running system has advanced by them")
+def step_advanced(context):
     """Read the clock again."""
     assert context.clock.now() - context.before >= context.seconds
