--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -12,7 +12,7 @@
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.limits import NO_BASIS, Basis
 from roadlift.instance.adapterwait import COME_BACK
-from roadlift.instance.limits import Answered, EndpointLimits
+from roadlift.instance.limits import EndpointLimits, SendAnswer
 from roadlift.instance.permits import Outcome, Permits, SendWait
 from roadlift.instance.placing import Placing, Rest
 from roadlift.instance.standings import Standings
@@ -74,7 +74,7 @@
         if known is None:
             self._passage.on_open(endpoint, NO_BASIS)
             return
-        named = round(self._clock.now() - known.named_at, 3)
+        named = round(self._clock.now() - known.announced_at, 3)
         self._passage.on_step(
             "limit", endpoint=endpoint.id, limit=known.limit, named=named
         )
@@ -175,7 +175,7 @@
         """Learn from the answer's head, and tell the endpoint's owner."""
         age = self._clock.now() - self._sent_at
         statement = self._standings.note_head(endpoint, status, headers, age)
-        answer = Answered(status, statement, has_run, self._basis, age)
-        naming = self._limits.note_answer(endpoint, answer)
+        answer = SendAnswer(status, statement, has_run, self._basis, age)
+        naming = self._limits.record_answer(endpoint, answer)
         if naming is not None:
             self._permits.tell(endpoint, naming)
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -21,10 +21,10 @@
 
 # Seconds before a limit became known whose sends count as sends without a
 # permit.
-RECENT = 1.0
+LOOKBACK_WINDOW = 1.0
 # Seconds after the last information on a limit from which on an update of the
 # aggregator that lacks the limit ends it.
-NEWS_GRACE = 1.0
+UPDATE_GRACE = 1.0
 # Seconds after a limit's end in which older updates that still contain it are
 # ignored, and after the last announcement received here in which updates of
 # its end are ignored: the owner may not have received that announcement yet.
@@ -32,21 +32,21 @@
 # Seconds after the last announcement of a limit from which on the endpoint is
 # chosen like any other: without calls no instance would find out that the
 # limit ended.
-TRIAL_PERIOD = 0.7
-LOCAL = -1  # Fence of the permits that this process granted to itself.
+TRIAL_DELAY = 0.7
+LOCAL_FENCE = -1  # Fence of the permits that this process granted to itself.
 
 log = PartLog("limits")
 
 
-class Heard(StrEnum):
+class LimitSource(StrEnum):
     """Where this process has a limit from; the values are logged."""
 
     ANSWER = "answer"
     OWNER = "owner"
-    NEWS = "news"
+    AGGREGATOR = "news"
 
 
-class ToldLimit(NamedTuple):
+class ReportedLimit(NamedTuple):
     """A limit as an owner reports it, in calls a second, or None for its end.
 
     ``fence`` and ``serial`` are of the basis on which permits are granted; the
@@ -60,7 +60,7 @@
     age: float
 
 
-class Answered(NamedTuple):
+class SendAnswer(NamedTuple):
     """An endpoint's answer to a send that was made ``age`` seconds ago.
 
     The send was permitted on ``basis``. ``has_run`` means that the endpoint
@@ -74,7 +74,7 @@
     age: float
 
 
-class Naming(NamedTuple):
+class LimitAnnouncement(NamedTuple):
     """The limit in an endpoint's answer to a send on ``basis``, or None."""
 
     limit: float | None
@@ -84,39 +84,42 @@
 class KnownLimit:
     """What this process knows of one endpoint's limit.
 
-    The endpoint last announced it at ``named_at``, and in an answer to this
-    process at ``answered_at``; ``heard_at`` is the time of the last
-    information from any source. No permit is requested before ``ask_at``, and
-    none is available before ``free_at``. ``told_number`` is the number of the
-    first report to the owner with the last announcement received here.
-    ``spent`` counts the sends without a permit.
+    The endpoint last announced it at ``announced_at``, and in an answer to
+    this process at ``answered_at``; ``received_at`` is the time of the last
+    information from any source, and ``announcements`` counts those in answers.
+    No permit is requested before ``next_request_at``, and none is available
+    before ``free_at``. ``reported_at`` and ``report_number`` are of the latest
+    report to the owner of an announcement received here. ``ungranted_sends``
+    counts the sends without a permit.
     """
 
     __slots__ = (
         "answered_at",
-        "ask_at",
+        "next_request_at",
         "basis",
-        "floor",
+        "minimum_rate",
         "free_at",
-        "heard_at",
+        "received_at",
         "limit",
-        "named_at",
-        "namings",
-        "spent",
-        "told_at",
-        "told_number",
+        "announced_at",
+        "announcements",
+        "ungranted_sends",
+        "reported_at",
+        "report_number",
     )
 
-    def __init__(self, limit: float, spent: int, floor: Floor, now: float) -> None:
+    def __init__(
+        self, limit: float, ungranted_sends: int, minimum_rate: Floor, now: float
+    ) -> None:
         self.limit = limit
-        self.spent = spent
-        self.floor = floor
+        self.ungranted_sends = ungranted_sends
+        self.minimum_rate = minimum_rate
         self.basis = NO_BASIS
-        self.heard_at = self.named_at = now
-        self.answered_at = self.told_at = float("-inf")
-        self.ask_at = self.free_at = float("-inf")
-        self.told_number = 0
-        self.namings = 0
+        self.received_at = self.announced_at = now
+        self.answered_at = self.reported_at = float("-inf")
+        self.next_request_at = self.free_at = float("-inf")
+        self.report_number = 0
+        self.announcements = 0
 
 
 @parts.register("limits")
@@ -148,15 +151,17 @@
         """Return the limit of an endpoint, or None if it has none."""
         return self._known.get(endpoint)
 
-    def is_full(self, endpoint: str) -> bool:
+    def is_exhausted(self, endpoint: str) -> bool:
         """Return whether an endpoint's limit is used up at the moment."""
         known = self._known.get(endpoint)
-        return known is not None and self._clock.now() < known.ask_at
+        return known is not None and self._clock.now() < known.next_request_at
 
-    def is_spared(self, endpoint: str) -> bool:
+    def is_in_reserve(self, endpoint: str) -> bool:
         """Return whether to prefer other endpoints: this one has a limit."""
         known = self._known.get(endpoint)
-        return known is not None and self._clock.now() - known.named_at < TRIAL_PERIOD
+        return (
+            known is not None and self._clock.now() - known.announced_at < TRIAL_DELAY
+        )
 
     def measure_wait(self, endpoint: str) -> float:
         """Return the seconds until a permit may be available."""
@@ -174,13 +179,15 @@
         now = self._clock.now()
         rate = self._send_rates.get(endpoint.id)
         if rate is None:
-            rate = self._send_rates[endpoint.id] = Rate(RECENT, now)
+            rate = self._send_rates[endpoint.id] = Rate(LOOKBACK_WINDOW, now)
         rate.note(1.0, now)
         known = self._known.get(endpoint.id)
         if known is not None and not is_granted:
-            known.spent += 1
+            known.ungranted_sends += 1
 
-    def note_answer(self, endpoint: Endpoint, answer: Answered) -> Naming | None:
+    def record_answer(
+        self, endpoint: Endpoint, answer: SendAnswer
+    ) -> LimitAnnouncement | None:
         """Update the limit from an answer; return what to tell the owner."""
         if answer.statement.has_fault(InvalidLimit):
             return None
@@ -190,14 +197,16 @@
         now = self._clock.now()
         known = self._known.get(endpoint.id)
         if known is None:
-            known = self._add(endpoint.id, limit, Heard.ANSWER, answer)
+            known = self._add(endpoint.id, limit, LimitSource.ANSWER, answer)
         elif limit < known.limit:
-            self._change(endpoint.id, known, limit, Heard.ANSWER, answer)
-        known.heard_at = known.named_at = known.answered_at = now
-        known.namings += 1
-        return Naming(limit, answer.basis)
-
-    def _record_no_limit(self, endpoint: Endpoint, answer: Answered) -> Naming | None:
+            self._change(endpoint.id, known, limit, LimitSource.ANSWER, answer)
+        known.received_at = known.announced_at = known.answered_at = now
+        known.announcements += 1
+        return LimitAnnouncement(limit, answer.basis)
+
+    def _record_no_limit(
+        self, endpoint: Endpoint, answer: SendAnswer
+    ) -> LimitAnnouncement | None:
         """Handle an answer without a limit.
 
         Only an answer to a call that ran says that there is no limit: a
@@ -207,72 +216,82 @@
         known = self._known.get(endpoint.id)
         if known is None or not answer.has_run:
             return None
-        if answer.basis == Basis(LOCAL, known.namings):
-            self._remove(endpoint.id, Heard.ANSWER, answer)
-        return Naming(None, answer.basis)
+        if answer.basis == Basis(LOCAL_FENCE, known.announcements):
+            self._remove(endpoint.id, LimitSource.ANSWER, answer)
+        return LimitAnnouncement(None, answer.basis)
 
     # Updates from the owner and the aggregator.
 
-    def note_owner(self, told: ToldLimit | None, endpoint: str, number: int) -> None:
+    def apply_owner_reply(
+        self, report: ReportedLimit | None, endpoint: str, number: int
+    ) -> None:
         """Apply the owner's reply to the report or request ``number``.
 
-        A reply to one that was sent before the last announcement received here
-        was reported can only lower a limit.
+        A reply to one that was sent before the latest report of an announcement
+        can only lower a limit.
         """
         known = self._known.get(endpoint)
-        is_older = known is not None and number < known.told_number
-        if told is not None:
-            self._apply(told, Heard.OWNER, is_older)
+        is_older = known is not None and number < known.report_number
+        if report is not None:
+            self._apply(report, LimitSource.OWNER, is_older)
         elif known is not None and not is_older:
-            self._remove(endpoint, Heard.OWNER, None)
+            self._remove(endpoint, LimitSource.OWNER, None)
 
-    def note_news(self, limits: Iterable[ToldLimit], asked_at: float) -> None:
+    def note_news(self, limits: Iterable[ReportedLimit], asked_at: float) -> None:
         """Apply all limits that an aggregator knows.
 
         ``asked_at`` is when this process sent the message that it answers.
         """
-        told = {limit.endpoint: limit for limit in limits}
-        for endpoint, limit in told.items():
-            if limit.limit is None:
+        reports = {report.endpoint: report for report in limits}
+        for endpoint, report in reports.items():
+            if report.limit is None:
                 self._apply_end(endpoint, asked_at)
             elif asked_at > self._ended_at.get(endpoint, float("-inf")) + END_GRACE:
-                self._apply(limit, Heard.NEWS, True)
+                self._apply(report, LimitSource.AGGREGATOR, True)
         for endpoint, known in list(self._known.items()):
-            is_old = asked_at - known.heard_at > NEWS_GRACE
-            if endpoint not in told and is_old:
-                self._remove(endpoint, Heard.NEWS, None)
+            is_old = asked_at - known.received_at > UPDATE_GRACE
+            if endpoint not in reports and is_old:
+                self._remove(endpoint, LimitSource.AGGREGATOR, None)
 
     def _apply_end(self, endpoint: str, asked_at: float) -> None:
         known = self._known.get(endpoint)
         if known is not None and asked_at > known.answered_at + END_GRACE:
-            self._remove(endpoint, Heard.NEWS, None)
+            self._remove(endpoint, LimitSource.AGGREGATOR, None)
 
-    def _apply(self, told: ToldLimit, source: Heard, can_only_lower: bool) -> None:
+    def _apply(
+        self, report: ReportedLimit, source: LimitSource, can_only_lower: bool
+    ) -> None:
         now = self._clock.now()
-        known = self._known.get(told.endpoint)
+        known = self._known.get(report.endpoint)
         if known is None:
-            if self._follower.directory.get(told.endpoint) is None:
+            if self._follower.directory.get(report.endpoint) is None:
                 return
-            known = self._add(told.endpoint, told.limit, source, None)
-            known.named_at = now - told.age
-        is_lower = told.limit < known.limit
-        is_raised = told.limit > known.limit and not can_only_lower
+            known = self._add(report.endpoint, report.limit, source, None)
+            known.announced_at = now - report.age
+        is_lower = report.limit < known.limit
+        is_raised = report.limit > known.limit and not can_only_lower
         if is_lower or is_raised:
-            self._change(told.endpoint, known, told.limit, source, None)
-        known.basis = max(known.basis, Basis(told.fence, told.serial))
-        known.heard_at = now
-        known.named_at = max(known.named_at, now - told.age)
+            self._change(report.endpoint, known, report.limit, source, None)
+        known.basis = max(known.basis, Basis(report.fence, report.serial))
+        known.received_at = now
+        known.announced_at = max(known.announced_at, now - report.age)
 
     # Changes of limits.
 
     def _add(
-        self, endpoint: str, limit: float, source: Heard, answer: Answered | None
+        self,
+        endpoint: str,
+        limit: float,
+        source: LimitSource,
+        answer: SendAnswer | None,
     ) -> KnownLimit:
         now = self._clock.now()
         rate = self._send_rates.get(endpoint)
-        spent = round(rate.measure(now) * RECENT) if rate else 0
-        floor = Floor(self._rng.random(), now)
-        known = self._known[endpoint] = KnownLimit(limit, spent, floor, now)
+        ungranted_sends = round(rate.measure(now) * LOOKBACK_WINDOW) if rate else 0
+        minimum_rate = Floor(self._rng.random(), now)
+        known = self._known[endpoint] = KnownLimit(
+            limit, ungranted_sends, minimum_rate, now
+        )
         self._log_change(endpoint, limit, None, source, answer)
         return known
 
@@ -281,13 +300,15 @@
         endpoint: str,
         known: KnownLimit,
         limit: float,
-        source: Heard,
-        answer: Answered | None,
+        source: LimitSource,
+        answer: SendAnswer | None,
     ) -> None:
         before, known.limit = known.limit, limit
         self._log_change(endpoint, limit, before, source, answer)
 
-    def _remove(self, endpoint: str, source: Heard, answer: Answered | None) -> None:
+    def _remove(
+        self, endpoint: str, source: LimitSource, answer: SendAnswer | None
+    ) -> None:
         known = self._known.pop(endpoint)
         self._ended_at[endpoint] = self._clock.now()
         self._log_change(endpoint, None, known.limit, source, answer)
@@ -297,8 +318,8 @@
         endpoint: str,
         limit: float | None,
         before: float | None,
-        source: Heard,
-        answer: Answered | None,
+        source: LimitSource,
+        answer: SendAnswer | None,
     ) -> None:
         """Log that a limit became known, changed or ended."""
         known = self._follower.directory.get(endpoint)
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -24,7 +24,12 @@
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
-from roadlift.instance.limits import LOCAL, EndpointLimits, Naming, ToldLimit
+from roadlift.instance.limits import (
+    LOCAL_FENCE,
+    EndpointLimits,
+    LimitAnnouncement,
+    ReportedLimit,
+)
 from roadlift.instance.measures import Measures
 from roadlift.instance.subscription import Subscription
 from roadlift.serving.directory import Endpoint
@@ -140,11 +145,11 @@
         permit = self._pop_unused(endpoint.id)
         now = self._kernel.clock.now()
         if known is None or permit is not None:
-            basis = permit.basis if permit else Basis(LOCAL, 0)
+            basis = permit.basis if permit else Basis(LOCAL_FENCE, 0)
             self._count(endpoint, "granted")
             outcome.on_granted(basis)
             return None
-        if now < known.ask_at:
+        if now < known.next_request_at:
             outcome.on_denied(self._limits.measure_wait(endpoint.id))
             return None
         wait = SendWait(endpoint, patience, now)
@@ -152,15 +157,15 @@
         self._send_request(next(self._request_numbers), wait)
         return wait
 
-    def tell(self, endpoint: Endpoint, naming: Naming) -> None:
+    def tell(self, endpoint: Endpoint, naming: LimitAnnouncement) -> None:
         """Report to the owner what an endpoint announced in an answer."""
         known = self._limits.find(endpoint.id)
         now = self._kernel.clock.now()
         if known is None or naming.limit is not None:
-            if known is None or now - known.told_at < TELL_GAP:
+            if known is None or now - known.reported_at < TELL_GAP:
                 return
-            known.told_at = now
-            known.told_number = number = next(self._request_numbers)
+            known.reported_at = now
+            known.report_number = number = next(self._request_numbers)
         else:
             if naming.basis != known.basis:
                 return
@@ -211,7 +216,7 @@
             known.limit if known else None,
             False,
             list(known.basis) if known else [0, 0],
-            known.spent if known else 0,
+            known.ungranted_sends if known else 0,
         )
 
     def _forward(self, message: SendAsk) -> None:
@@ -240,15 +245,15 @@
         wait.close()
         known = self._limits.find(endpoint.id)
         if known is None:
-            outcome.on_granted(Basis(LOCAL, 0))
+            outcome.on_granted(Basis(LOCAL_FENCE, 0))
             return
         now = self._kernel.clock.now()
         instances = self._knowledge.count_instances()
-        if known.floor.take(known.limit, instances, now):
+        if known.minimum_rate.take(known.limit, instances, now):
             self._count(endpoint, "floor")
-            outcome.on_granted(Basis(LOCAL, known.namings))
+            outcome.on_granted(Basis(LOCAL_FENCE, known.announcements))
             return
-        known.ask_at = known.free_at = now + UNHEARD_PAUSE
+        known.next_request_at = known.free_at = now + UNHEARD_PAUSE
         self._count(endpoint, "unheard")
         outcome.on_denied(UNHEARD_PAUSE)
 
@@ -257,7 +262,9 @@
         if message.address != self._peer:
             self._transport.send(message.address, message)
             return
-        self._limits.note_owner(_read_limit(message), message.endpoint, message.number)
+        self._limits.apply_owner_reply(
+            _read_limit(message), message.endpoint, message.number
+        )
         wait = self._pending.pop(message.number, None)
         if wait is not None:
             wait.timer.close()
@@ -275,7 +282,7 @@
         if wait is not None and wait.is_open:
             outcome = wait.outcome
             wait.close()
-            outcome.on_granted(Basis(LOCAL, 0))
+            outcome.on_granted(Basis(LOCAL_FENCE, 0))
 
     def _accept_permit(self, wait: SendWait | None, message: SendGrant) -> None:
         """Use a permit once it is valid, or keep it for another call.
@@ -322,7 +329,7 @@
         if known is not None:
             known.free_at = now + message.delay
             pause = max(LEAST_PAUSE, message.delay - message.patience)
-            known.ask_at = max(known.ask_at, now + pause)
+            known.next_request_at = max(known.next_request_at, now + pause)
         if wait is not None and wait.is_open:
             outcome = wait.outcome
             wait.close()
@@ -406,7 +413,7 @@
                 ledger.learn(Claim("", known.limit, False, known.basis, 0), now)
                 self._ledgers[endpoint] = ledger
 
-    def list_limits(self) -> list[ToldLimit]:
+    def list_limits(self) -> list[ReportedLimit]:
         """Return the limits of endpoints in the zones that are owned here.
 
         Recently ended ones are included, without a limit.
@@ -417,7 +424,7 @@
             if is_gone or ledger.is_forgotten(now):
                 del self._ledgers[endpoint]
         return [
-            ToldLimit(
+            ReportedLimit(
                 endpoint,
                 ledger.limit,
                 *ledger.basis,
@@ -443,7 +450,7 @@
     )
 
 
-def _read_limit(message: SendGrant) -> ToldLimit | None:
+def _read_limit(message: SendGrant) -> ReportedLimit | None:
     if message.limit is None:
         return None
-    return ToldLimit(message.endpoint, message.limit, *message.basis, message.age)
+    return ReportedLimit(message.endpoint, message.limit, *message.basis, message.age)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -124,7 +124,7 @@
         Those in need are left out while others have slots to spare.
         """
         usable = self._list_open(service, excluded, now)
-        others = [one for one in usable if not self._limits.is_spared(one.id)]
+        others = [one for one in usable if not self._limits.is_in_reserve(one.id)]
         fill = self._services.spread.measure_fill(service, others, now)
         return others if others and fill < SPARE_FILL else usable
 
@@ -133,7 +133,7 @@
     ) -> list[Endpoint]:
         """Return the usable endpoints whose limit is not used up."""
         usable = self._list_usable(service, excluded, now)
-        return [one for one in usable if not self._limits.is_full(one.id)]
+        return [one for one in usable if not self._limits.is_exhausted(one.id)]
 
     def measure_limit_wait(self, service: str, excluded: set[str]) -> float | None:
         """Return the seconds until a service's limits have a send free.
@@ -144,7 +144,7 @@
             self._limits.measure_wait(one.id)
             for one in self._follower.directory.list_ready(service)
             if self._limits.find(one.id) is not None
-            and (one.id in excluded or self._limits.is_full(one.id))
+            and (one.id in excluded or self._limits.is_exhausted(one.id))
         ]
         return min(waits, default=None)
 
@@ -280,10 +280,10 @@
                 self._knowledge.has_owner(endpoint.zone),
                 self._workload.measure_queue(endpoint.id),
                 self._limits.measure_wait(endpoint.id),
-                self._limits.is_spared(endpoint.id),
+                self._limits.is_in_reserve(endpoint.id),
             )
             for rank, endpoint in enumerate(ranked)
-            if endpoint.holds(model.base) and not self._limits.is_full(endpoint.id)
+            if endpoint.holds(model.base) and not self._limits.is_exhausted(endpoint.id)
         ]
 
     def _list_candidates(
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -14,7 +14,7 @@
 from roadlift.daemon.transport import Transport
 from roadlift.instance.allowances import Allowances
 from roadlift.instance.leases import Leases
-from roadlift.instance.limits import EndpointLimits, ToldLimit
+from roadlift.instance.limits import EndpointLimits, ReportedLimit
 from roadlift.instance.permits import Permits
 from roadlift.instance.serviceloads import ServiceLoads, ZoneLoad
 from roadlift.instance.subscription import Subscription
@@ -34,7 +34,7 @@
 class _ToldLimits(NamedTuple):
     """The limits that an aggregator told, and when."""
 
-    limits: list[ToldLimit]
+    limits: list[ReportedLimit]
     heard_at: float
 
 
@@ -133,7 +133,7 @@
             news = LimitNews(self._peer, True, limits, 0.0)
             self._transport.send_all(others - {""}, news)
 
-    def _list_limits(self, now: float) -> list[ToldLimit]:
+    def _list_limits(self, now: float) -> list[ReportedLimit]:
         """Return the limits of all zones' endpoints."""
         found = self._permits.list_limits()
         for address, told in list(self._others.items()):
@@ -183,7 +183,7 @@
         self._services.note_news(_read_loads(message.services))
 
     def _take_limits(self, sender: str, message: LimitNews) -> None:
-        limits = [read_fields(ToldLimit, one) for one in message.limits]
+        limits = [read_fields(ReportedLimit, one) for one in message.limits]
         if message.is_own:
             now = self._kernel.clock.now()
             self._others[message.address] = _ToldLimits(limits, now)
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -101,7 +101,7 @@
 
 def _ignore_limits() -> None:
     """Send to endpoints whatever they name as their limits."""
-    EndpointLimits.note_answer = lambda self, endpoint, answer: None
+    EndpointLimits.record_answer = lambda self, endpoint, answer: None
 
 
 def _ignore_age() -> None:
