--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -22,7 +22,7 @@
     Floor,
     SendLedger,
 )
-from roadlift.instance.permits import LEAST_PAUSE, UNHEARD_PAUSE
+from roadlift.instance.permits import MIN_BACKOFF, UNANSWERED_BACKOFF
 from roadlift.instance.sharing import TELL_PERIOD
 from roadlift.organisations.fleet import FleetUse, Use
 from roadlift.organisations.shares import Limits, Meter
@@ -201,13 +201,13 @@
             self.messages += 3
             if self._floors[instance].take(self._limit, self._count, now):
                 return now
-            self._ask_at[instance] = now + UNHEARD_PAUSE
+            self._ask_at[instance] = now + UNANSWERED_BACKOFF
             return None
         self.messages += 4
         ledger, part = self._find_ledger(instance, now)
         grant = ledger.give(str(instance), self._numbers, PATIENCE, part, now)
         if not grant.is_given:
-            pause = max(LEAST_PAUSE, grant.delay - PATIENCE)
+            pause = max(MIN_BACKOFF, grant.delay - PATIENCE)
             self._ask_at[instance] = now + pause
             return None
         begins_at = now + 2 * WAY + grant.delay
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -13,7 +13,7 @@
 from roadlift.decisions.limits import NO_BASIS, Basis
 from roadlift.instance.adapterwait import COME_BACK
 from roadlift.instance.limits import EndpointLimits, SendAnswer
-from roadlift.instance.permits import Outcome, Permits, SendWait
+from roadlift.instance.permits import PendingPermit, PermitCallbacks, Permits
 from roadlift.instance.placing import Placing, Rest
 from roadlift.instance.standings import Standings
 from roadlift.serving.calls import Call, Model
@@ -55,7 +55,7 @@
         self._call = call
         self._service = service
         self._passage = passage
-        self._waiting: SendWait | None = None
+        self._waiting: PendingPermit | None = None
         self._basis = NO_BASIS
         self._sent_at = 0.0
         self.denied: set[str] = set()
@@ -78,7 +78,7 @@
         self._passage.on_step(
             "limit", endpoint=endpoint.id, limit=known.limit, named=named
         )
-        outcome = Outcome(
+        outcome = PermitCallbacks(
             lambda basis: self._on_granted(endpoint, basis),
             lambda wait: self._on_denied(endpoint, wait),
         )
@@ -178,4 +178,4 @@
         answer = SendAnswer(status, statement, has_run, self._basis, age)
         naming = self._limits.record_answer(endpoint, answer)
         if naming is not None:
-            self._permits.tell(endpoint, naming)
+            self._permits.report_announcement(endpoint, naming)
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -227,8 +227,8 @@
     ) -> None:
         """Apply the owner's reply to the report or request ``number``.
 
-        A reply to one that was sent before the latest report of an announcement
-        can only lower a limit.
+        A reply to one that was sent before the latest report of an
+        announcement can only lower a limit.
         """
         known = self._known.get(endpoint)
         is_older = known is not None and number < known.report_number
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -35,20 +35,20 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import SendAsk, SendGrant
 
-ASK_TIMEOUT = 0.08  # Seconds until an unanswered request is sent again.
-MOST_ASKS = 3  # How often a request is sent.
+REQUEST_TIMEOUT = 0.08  # Seconds until an unanswered request is sent again.
+MAX_ATTEMPTS = 3  # How often a request is sent.
 # Seconds in which no request is sent to an owner that did not answer.
-UNHEARD_PAUSE = 0.6
+UNANSWERED_BACKOFF = 0.6
 # Minimum seconds between two requests for an endpoint without free permits.
-LEAST_PAUSE = 0.05
-TELL_GAP = 0.2  # Seconds between two reports that a limit still stands.
-# Patience of a message that reports a limit, and requests no permit.
-NO_SEND = -1.0
+MIN_BACKOFF = 0.05
+REPORT_INTERVAL = 0.2  # Seconds between two reports that a limit still stands.
+# Value of ``patience`` in a message that reports a limit, and requests no permit.
+REPORT_ONLY = -1.0
 
 log = PartLog("limits")
 
 
-class Outcome(NamedTuple):
+class PermitCallbacks(NamedTuple):
     """Callbacks with the result of a permit request.
 
     ``on_granted`` is called with the basis of the permit, ``on_denied`` with
@@ -59,25 +59,25 @@
     on_denied: Callable[[float], None]
 
 
-class SendWait:
+class PendingPermit:
     """A call that waits for a permit; ``close`` withdraws the request."""
 
-    def __init__(self, endpoint: Endpoint, patience: float, now: float) -> None:
+    def __init__(self, endpoint: Endpoint, max_wait: float, now: float) -> None:
         self.endpoint = endpoint
-        self.patience = patience
-        self.asked_at = now
-        self.asks = 0
-        self.outcome: Outcome | None = None
+        self.max_wait = max_wait
+        self.requested_at = now
+        self.attempts = 0
+        self.callbacks: PermitCallbacks | None = None
         self.timer = None
 
     @property
     def is_open(self) -> bool:
         """Return whether the call still waits."""
-        return self.outcome is not None
+        return self.callbacks is not None
 
     def close(self) -> None:
         """Stop waiting; a permit that is granted later serves another call."""
-        self.outcome = None
+        self.callbacks = None
 
 
 class _Permit(NamedTuple):
@@ -115,7 +115,7 @@
         self._measures = kernel.get(Measures)
         self._subscription = kernel.get(Subscription)
         self._request_numbers = itertools.count(1)
-        self._pending: dict[int, SendWait] = {}
+        self._pending: dict[int, PendingPermit] = {}
         self._unused: dict[str, list[_Permit]] = {}
         self._ledgers: dict[str, SendLedger] = {}
         self._follower.on_directory.append(self._remove_gone)
@@ -135,11 +135,11 @@
     # As the instance that sends calls.
 
     def ask(
-        self, endpoint: Endpoint, patience: float, outcome: Outcome
-    ) -> SendWait | None:
-        """Request a permit that is valid within ``patience`` seconds.
+        self, endpoint: Endpoint, max_wait: float, callbacks: PermitCallbacks
+    ) -> PendingPermit | None:
+        """Request a permit that is valid within ``max_wait`` seconds.
 
-        None means that a callback of ``outcome`` was called already.
+        None means that one of the callbacks was called already.
         """
         known = self._limits.find(endpoint.id)
         permit = self._pop_unused(endpoint.id)
@@ -147,32 +147,34 @@
         if known is None or permit is not None:
             basis = permit.basis if permit else Basis(LOCAL_FENCE, 0)
             self._count(endpoint, "granted")
-            outcome.on_granted(basis)
+            callbacks.on_granted(basis)
             return None
         if now < known.next_request_at:
-            outcome.on_denied(self._limits.measure_wait(endpoint.id))
+            callbacks.on_denied(self._limits.measure_wait(endpoint.id))
             return None
-        wait = SendWait(endpoint, patience, now)
-        wait.outcome = outcome
+        wait = PendingPermit(endpoint, max_wait, now)
+        wait.callbacks = callbacks
         self._send_request(next(self._request_numbers), wait)
         return wait
 
-    def tell(self, endpoint: Endpoint, naming: LimitAnnouncement) -> None:
+    def report_announcement(
+        self, endpoint: Endpoint, announcement: LimitAnnouncement
+    ) -> None:
         """Report to the owner what an endpoint announced in an answer."""
         known = self._limits.find(endpoint.id)
         now = self._kernel.clock.now()
-        if known is None or naming.limit is not None:
-            if known is None or now - known.reported_at < TELL_GAP:
+        if known is None or announcement.limit is not None:
+            if known is None or now - known.reported_at < REPORT_INTERVAL:
                 return
             known.reported_at = now
             known.report_number = number = next(self._request_numbers)
         else:
-            if naming.basis != known.basis:
+            if announcement.basis != known.basis:
                 return
             number = next(self._request_numbers)
-        message = self._make_request(number, endpoint, NO_SEND)
+        message = self._make_request(number, endpoint, REPORT_ONLY)
         message = message._replace(
-            limit=naming.limit, is_named=True, basis=list(naming.basis)
+            limit=announcement.limit, is_named=True, basis=list(announcement.basis)
         )
         self._forward(message)
 
@@ -193,16 +195,16 @@
             if self._follower.directory.get(endpoint) is None:
                 del self._unused[endpoint]
 
-    def _send_request(self, number: int, wait: SendWait) -> None:
+    def _send_request(self, number: int, wait: PendingPermit) -> None:
         self._pending[number] = wait
-        wait.asks += 1
+        wait.attempts += 1
         wait.timer = self._kernel.loop.call_later(
-            ASK_TIMEOUT, lambda: self._on_timeout(number)
+            REQUEST_TIMEOUT, lambda: self._on_timeout(number)
         )
-        self._forward(self._make_request(number, wait.endpoint, wait.patience))
+        self._forward(self._make_request(number, wait.endpoint, wait.max_wait))
 
     def _make_request(
-        self, number: int, endpoint: Endpoint, patience: float
+        self, number: int, endpoint: Endpoint, max_wait: float
     ) -> SendAsk:
         known = self._limits.find(endpoint.id)
         return SendAsk(
@@ -212,7 +214,7 @@
             endpoint.zone,
             endpoint.id,
             number,
-            patience,
+            max_wait,
             known.limit if known else None,
             False,
             list(known.basis) if known else [0, 0],
@@ -231,31 +233,31 @@
         wait = self._pending.pop(number, None)
         if wait is None or not wait.is_open:
             return
-        if wait.asks < MOST_ASKS:
+        if wait.attempts < MAX_ATTEMPTS:
             self._send_request(number, wait)
         else:
             self._decide_without_owner(wait)
 
-    def _decide_without_owner(self, wait: SendWait) -> None:
+    def _decide_without_owner(self, wait: PendingPermit) -> None:
         """Decide within the minimum rate of instances without an owner.
 
         This process has an equal share of it.
         """
-        endpoint, outcome = wait.endpoint, wait.outcome
+        endpoint, callbacks = wait.endpoint, wait.callbacks
         wait.close()
         known = self._limits.find(endpoint.id)
         if known is None:
-            outcome.on_granted(Basis(LOCAL_FENCE, 0))
+            callbacks.on_granted(Basis(LOCAL_FENCE, 0))
             return
         now = self._kernel.clock.now()
         instances = self._knowledge.count_instances()
         if known.minimum_rate.take(known.limit, instances, now):
             self._count(endpoint, "floor")
-            outcome.on_granted(Basis(LOCAL_FENCE, known.announcements))
+            callbacks.on_granted(Basis(LOCAL_FENCE, known.announcements))
             return
-        known.next_request_at = known.free_at = now + UNHEARD_PAUSE
+        known.next_request_at = known.free_at = now + UNANSWERED_BACKOFF
         self._count(endpoint, "unheard")
-        outcome.on_denied(UNHEARD_PAUSE)
+        callbacks.on_denied(UNANSWERED_BACKOFF)
 
     def _handle_grant(self, sender: str, message: SendGrant) -> None:
         """Handle an owner's reply, or forward it to the requester."""
@@ -268,7 +270,7 @@
         wait = self._pending.pop(message.number, None)
         if wait is not None:
             wait.timer.close()
-        if message.patience == NO_SEND:
+        if message.patience == REPORT_ONLY:
             return
         if message.limit is None:
             self._grant_without_limit(wait)
@@ -277,14 +279,14 @@
         else:
             self._deny(wait, message)
 
-    def _grant_without_limit(self, wait: SendWait | None) -> None:
+    def _grant_without_limit(self, wait: PendingPermit | None) -> None:
         """Let a call go without a permit, as the limit has ended."""
         if wait is not None and wait.is_open:
-            outcome = wait.outcome
+            callbacks = wait.callbacks
             wait.close()
-            outcome.on_granted(Basis(LOCAL_FENCE, 0))
+            callbacks.on_granted(Basis(LOCAL_FENCE, 0))
 
-    def _accept_permit(self, wait: SendWait | None, message: SendGrant) -> None:
+    def _accept_permit(self, wait: PendingPermit | None, message: SendGrant) -> None:
         """Use a permit once it is valid, or keep it for another call.
 
         A request that was sent twice is answered twice with the same permit.
@@ -294,7 +296,7 @@
         now = self._kernel.clock.now()
         permit = _Permit(
             now + message.delay,
-            wait.asked_at + message.delay + GRANT_LIFE,
+            wait.requested_at + message.delay + GRANT_LIFE,
             Basis(*message.basis),
         )
         if not wait.is_open:
@@ -304,37 +306,37 @@
         else:
             self._kernel.loop.call_later(message.delay, lambda: self._use(wait, permit))
 
-    def _use(self, wait: SendWait, permit: _Permit) -> None:
+    def _use(self, wait: PendingPermit, permit: _Permit) -> None:
         now = self._kernel.clock.now()
         if now >= permit.expires_at:
             # This process was delayed: after the sends of other instances,
             # this one would exceed the limit.
             self._count(wait.endpoint, "expired")
             if wait.is_open:
-                outcome = wait.outcome
+                callbacks = wait.callbacks
                 wait.close()
-                outcome.on_denied(0.0)
+                callbacks.on_denied(0.0)
             return
         if not wait.is_open:
             self._unused.setdefault(wait.endpoint.id, []).append(permit)
             return
-        outcome = wait.outcome
+        callbacks = wait.callbacks
         wait.close()
         self._count(wait.endpoint, "granted")
-        outcome.on_granted(permit.basis)
+        callbacks.on_granted(permit.basis)
 
-    def _deny(self, wait: SendWait | None, message: SendGrant) -> None:
+    def _deny(self, wait: PendingPermit | None, message: SendGrant) -> None:
         known = self._limits.find(message.endpoint)
         now = self._kernel.clock.now()
         if known is not None:
             known.free_at = now + message.delay
-            pause = max(LEAST_PAUSE, message.delay - message.patience)
-            known.next_request_at = max(known.next_request_at, now + pause)
+            backoff = max(MIN_BACKOFF, message.delay - message.patience)
+            known.next_request_at = max(known.next_request_at, now + backoff)
         if wait is not None and wait.is_open:
-            outcome = wait.outcome
+            callbacks = wait.callbacks
             wait.close()
             self._count(wait.endpoint, "denied")
-            outcome.on_denied(message.delay)
+            callbacks.on_denied(message.delay)
 
     def _count(self, endpoint: Endpoint, outcome: str) -> None:
         self._measures.count("roadlift_limited_sends", endpoint.service, outcome)
@@ -380,7 +382,7 @@
                 asker=message.address,
             )
         grant = _make_grant(message, ledger.limit, ledger.basis, now - ledger.named_at)
-        if ledger.limit is None or message.patience == NO_SEND:
+        if ledger.limit is None or message.patience == REPORT_ONLY:
             return grant
         lease = self._leases.get(message.zone)
         fraction = GIVEN_PART if lease.may_order(now) else UNSURE_PART
