--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -9,7 +9,7 @@
 from roadlift.crashes.turns import Turns
 from roadlift.decisions.crashes import Sign
 from roadlift.instance.aggregator import Aggregator
-from roadlift.instance.crashnews import CrashTelling
+from roadlift.instance.crashnews import CrashSync
 from roadlift.instance.crashrows import CrashRows
 from roadlift.instance.follower import Follower
 from roadlift.instance.measures import Measures
@@ -19,7 +19,7 @@
 
 
 @parts.register("crashes")
-class CrashWatch:
+class CrashMonitor:
     """Crashes of endpoints that this process detects by its local calls."""
 
     name = "crashes"
@@ -37,7 +37,7 @@
         self._follower = kernel.get(Follower)
         self._measures = kernel.get(Measures)
         self._ledger = kernel.get(CrashLedger)
-        self._sync = CrashTelling(kernel)
+        self._sync = CrashSync(kernel)
         self._rows = CrashRows(kernel)
         self._trial_slots = Turns(kernel.loop)
         self._crash_check = EndCheck(kernel, self._record_crash)
@@ -53,7 +53,7 @@
         self._rows.close()
         self._sync.close()
 
-    def await_turn(
+    def await_trial_slot(
         self, identify: Callable[[], bytes], on_slot: Callable[[], None]
     ) -> bool:
         """Return whether a call has to wait for a trial slot.
@@ -75,7 +75,7 @@
         """Release the slot of a call for which ``begin`` was true."""
         self._trial_slots.end(identity)
 
-    def note_cut(self, endpoint: Endpoint, identity: bytes, is_strong: bool) -> None:
+    def record_cut(self, endpoint: Endpoint, identity: bytes, is_strong: bool) -> None:
         """Record that an endpoint closed the connection of a running call.
 
         ``is_strong`` means that the call had begun and sent no event.
--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -20,19 +20,19 @@
 from roadlift.serving.crashsigns import read_signs
 from roadlift.serving.messages import CrashNews, CrashSum
 
-SUM_PERIOD = 1.0  # Seconds between checksums.
+CHECKSUM_INTERVAL = 1.0  # Seconds between checksums.
 # Seconds without a checksum from the aggregator after which it is sent one.
-SUM_LIMIT = 2.5
+CHECKSUM_TIMEOUT = 2.5
 # Seconds between two messages with all evidence to one instance, and pieces of
 # evidence in one: 200 take some 9 KB, so that a difference which persists
 # costs at most 4.5 KB/s.
-ALL_PERIOD = 2.0
-MOST_TOLD = 200
+FULL_REPORT_INTERVAL = 2.0
+MAX_EVIDENCE = 200
 
 log = PartLog("crashes")
 
 
-class CrashTelling:
+class CrashSync:
     """The exchange of crash evidence between this process and others."""
 
     def __init__(self, kernel: Kernel) -> None:
@@ -52,7 +52,9 @@
 
     def start(self) -> None:
         """Begin to compare checksums."""
-        self._timer = self._kernel.loop.call_every(SUM_PERIOD, self._send_checksums)
+        self._timer = self._kernel.loop.call_every(
+            CHECKSUM_INTERVAL, self._send_checksums
+        )
 
     def close(self) -> None:
         """Stop comparing checksums."""
@@ -60,8 +62,8 @@
 
     def _publish(self, evidence: list[Sign], excluded: str = "") -> None:
         """Send new evidence to the other instances."""
-        for start in range(0, len(evidence), MOST_TOLD):
-            batch = [list(item) for item in evidence[start : start + MOST_TOLD]]
+        for start in range(0, len(evidence), MAX_EVIDENCE):
+            batch = [list(item) for item in evidence[start : start + MAX_EVIDENCE]]
             update = CrashNews(self._kernel.settings.peer, batch, False)
             self._transport.send_all(self._list_recipients() - {excluded}, update)
 
@@ -85,7 +87,7 @@
         message = CrashSum(self._kernel.settings.peer, self._crashes.compute_checksum())
         recipients = self._list_recipients()
         if not self._leases.list_held():
-            recent = now - SUM_LIMIT
+            recent = now - CHECKSUM_TIMEOUT
             recipients = {
                 one for one in recipients if self._received_at.get(one, 0.0) < recent
             }
@@ -99,12 +101,19 @@
 
     def _send_all(self, address: str, wants_all: bool, now: float) -> None:
         """Send all evidence to one instance, the newest first."""
-        if wants_all and now - self._sent_at.get(address, float("-inf")) < ALL_PERIOD:
+        if (
+            wants_all
+            and now - self._sent_at.get(address, float("-inf")) < FULL_REPORT_INTERVAL
+        ):
             return
-        recent = {one: at for one, at in self._sent_at.items() if now - at < ALL_PERIOD}
+        recent = {
+            one: at
+            for one, at in self._sent_at.items()
+            if now - at < FULL_REPORT_INTERVAL
+        }
         self._sent_at = {**recent, address: now}
         evidence = sorted(self._crashes.list_signs(now), key=lambda item: item.age)
-        batch = [list(item) for item in evidence[:MOST_TOLD]]
+        batch = [list(item) for item in evidence[:MAX_EVIDENCE]]
         update = CrashNews(self._kernel.settings.peer, batch, wants_all)
         self._transport.send(address, update)
 
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -28,16 +28,16 @@
 # Seconds for which the store may hold a poll without a change. Rows rarely
 # change, and a poll that hangs on a dead path is detected by the keep-alive of
 # the connection.
-WAIT = 10.0
+POLL_TIMEOUT = 10.0
 # Seconds between two polls. All instances read once at their start; by the
 # second poll an aggregator reads for most of them, which saves 195 instances
 # a store call each.
-POLL_PAUSE = 1.5
+POLL_INTERVAL = 1.5
 # Seconds after a failed read, and between attempts to write.
-RETRY_PAUSE = 2.0
+RETRY_DELAY = 2.0
 # Seconds by which the owner of each further zone writes later, so that it
 # finds the row that the owner of the previous zone has written.
-TURN = 0.3
+ZONE_DELAY = 0.3
 
 log = PartLog("crashes")
 
@@ -68,18 +68,18 @@
         self._reader = TableReader(
             kernel,
             TABLE,
-            lambda: WAIT,
-            POLL_PAUSE,
+            lambda: POLL_TIMEOUT,
+            POLL_INTERVAL,
             self._apply_rows,
             lambda: None,
             self._is_relayed,
-            RETRY_PAUSE,
+            RETRY_DELAY,
         )
 
     def start(self) -> None:
         """Read the rows, and poll them unless an aggregator relays them."""
         self._reader.start()
-        self._timer = self._kernel.loop.call_every(RETRY_PAUSE, self._tick)
+        self._timer = self._kernel.loop.call_every(RETRY_DELAY, self._tick)
 
     def close(self) -> None:
         """Stop polling and writing."""
@@ -91,7 +91,7 @@
         if self._is_relayed() or self._is_stored(identity):
             return
         self._unwritten.add(identity)
-        delay = TURN * self._find_rank()
+        delay = ZONE_DELAY * self._find_rank()
         self._kernel.loop.call_later(delay, lambda: self._write(identity))
 
     def _is_stored(self, identity: bytes) -> bool:
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -25,7 +25,7 @@
 from roadlift.http.messages import drop_hop_by_hop
 from roadlift.instance.access import Pass
 from roadlift.instance.adapterwait import COME_BACK, AdapterWait, Waiting
-from roadlift.instance.crashes import CrashWatch
+from roadlift.instance.crashes import CrashMonitor
 from roadlift.instance.follower import Follower
 from roadlift.instance.gate import Gate, Passage
 from roadlift.instance.knowledge import OWNER_RETURN, Knowledge
@@ -83,7 +83,7 @@
         self._placing = kernel.get(Placing)
         self._knowledge = kernel.get(Knowledge)
         self._follower = kernel.get(Follower)
-        self._crashes = kernel.get(CrashWatch)
+        self._crashes = kernel.get(CrashMonitor)
         self._ledger = kernel.get(CrashLedger)
         self._format = kernel.get(Platform).adapter.calls
         self._service = route.choose_service(call.id)
@@ -185,7 +185,7 @@
         if obstacle is not None:
             self._fail(obstacle)
             return
-        if self._crashes.await_turn(self._identify, self._try):
+        if self._crashes.await_trial_slot(self._identify, self._try):
             self._note("turn")
             return
         is_placed = self._try_plain() if self.call.model is None else self._try_engine()
@@ -517,7 +517,7 @@
             return
         if isinstance(error, ConnectionLost):
             has_begun = self._describe_answer() == "head"
-            self._crashes.note_cut(endpoint, self._identify(), has_begun)
+            self._crashes.record_cut(endpoint, self._identify(), has_begun)
         if error.outcome is not Outcome.NOT_RUN:
             self._runs += 1
         if self._caller.started:
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -19,7 +19,7 @@
 from roadlift.instance.access import Access
 from roadlift.instance.aggregator import Aggregator
 from roadlift.instance.control import ControlCosts
-from roadlift.instance.crashes import CrashWatch
+from roadlift.instance.crashes import CrashMonitor
 from roadlift.instance.exchange import Exchange
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
@@ -60,7 +60,7 @@
         Aggregator.name,
         ControlCosts.name,
         CrashLedger.name,
-        CrashWatch.name,
+        CrashMonitor.name,
         "follower",
         "knowledge",
         "leases",
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -42,7 +42,7 @@
 # Minimum seconds between two requests for an endpoint without free permits.
 MIN_BACKOFF = 0.05
 REPORT_INTERVAL = 0.2  # Seconds between two reports that a limit still stands.
-# Value of ``patience`` in a message that reports a limit, and requests no permit.
+# ``patience`` of a message that reports a limit, and requests no permit.
 REPORT_ONLY = -1.0
 
 log = PartLog("limits")
