--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -165,7 +165,7 @@
         )
         self._completeness.note(address, message.count, message.is_whole)
         self._subscription.note_member(message)
-        self._owner.consider_hand_back(message)
+        self._owner.consider_release(message)
         self._answer(message, MOST_TRIES)
 
     def _answer(self, message: Heartbeat, tries: int) -> None:
@@ -366,7 +366,7 @@
         owner = self._leases.find_owner(message.zone)
         is_own = message.zone in self._leases.list_held()
         if is_own or message.is_forwarded or owner is None or not self._is_serving:
-            self._owner.take_ask(message)
+            self._owner.handle_load_request(message)
             return
         key = (message.endpoint, Model(message.base, message.adapter))
         asked = self._askers.setdefault(key, {})
--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -24,7 +24,7 @@
 # orders to its engine.
 ORDER_TIMEOUT = 0.06
 REPORT_TIMEOUT = 0.5  # Seconds for the answer to a request for a report.
-REPORT_PAUSE = 0.3  # Seconds between attempts to read an engine's report.
+REPORT_RETRY_DELAY = 0.3  # Seconds between attempts to read an engine's report.
 
 log = PartLog("owner")
 
@@ -33,11 +33,11 @@
     """One engine of this owner: its record, and the orders in flight.
 
     ``on_change`` is called when the record has changed, ``on_report`` when a
-    report was read, ``on_end`` when the engine seems to have crashed.
+    report was read, ``on_crash`` when the engine seems to have crashed.
     """
 
     def __init__(
-        self, kernel: Kernel, zone: str, endpoint: Endpoint, book: EngineBook
+        self, kernel: Kernel, zone: str, endpoint: Endpoint, record: EngineBook
     ) -> None:
         self._kernel = kernel
         self._orders = kernel.get(Platform).adapter.orders
@@ -49,10 +49,10 @@
         self._is_reading = False
         self._is_open = True
         self.endpoint = endpoint
-        self.book = book
+        self.record = record
         self.on_change: Callable[[OwnedEngine], None] = lambda engine: None
         self.on_report: Callable[[OwnedEngine], None] = lambda engine: None
-        self.on_end: Callable[[OwnedEngine], None] = lambda engine: None
+        self.on_crash: Callable[[OwnedEngine], None] = lambda engine: None
 
     def close(self) -> None:
         """Send no further orders."""
@@ -68,22 +68,22 @@
             self._timer.close()
             self._timer = None
         now = self._kernel.clock.now()
-        if self.book.needs_report and self.book.is_idle:
+        if self.record.needs_report and self.record.is_idle:
             # Reading a report is not an order: a new owner may do so before
             # it may order, and loaded adapters are then used at once.
-            delay = self.book.measure_pause(now)
+            delay = self.record.measure_pause(now)
             self._wait(delay) if delay > 0 else self._read_report()
             return
         if not self._lease.may_order(now):
             self._wait(max(0.05, self._lease.orders_from - now))
             return
-        while (plan := self.book.plan(now)) is not None:
+        while (plan := self.record.plan(now)) is not None:
             self._send(plan)
-        if self.book.take_peek(now):
+        if self.record.take_peek(now):
             self._fetch_report(self._apply_arrivals, self._handle_peek_failure)
-        if self.book.denied:
+        if self.record.denied:
             self.on_change(self)
-        wait = self.book.measure_wait(now)
+        wait = self.record.measure_wait(now)
         if wait is not None:
             self._wait(max(0.005, wait))
 
@@ -95,7 +95,7 @@
             plan.action,
             plan.model,
             plan.version,
-            self.book.sequence,
+            self.record.sequence,
             self._process,
             self._lease.fence,
             lambda: self._lease.may_order(self._kernel.clock.now()),
@@ -144,14 +144,14 @@
             result=result.value,
             said=said,
         )
-        self.book.note_result(plan, result, self._kernel.clock.now())
+        self.record.note_result(plan, result, self._kernel.clock.now())
         self.on_change(self)
         self.advance()
 
     def _check_refused(self, error: RoadliftError) -> None:
         """Report a crash of the engine if nothing listens at its address."""
         if self._is_open and isinstance(error, ConnectionRefused):
-            self.on_end(self)
+            self.on_crash(self)
 
     def _read_report(self) -> None:
         self._is_reading = True
@@ -181,7 +181,7 @@
                 held=len(report.held),
                 arriving=len(report.arriving),
                 running=report.running,
-                told=self.book.usage.count_running(),
+                told=self.record.usage.count_running(),
             )
             on_report(report)
             self.advance()
@@ -207,11 +207,11 @@
 
     def _apply_report(self, report: EngineReport) -> None:
         self._is_reading = False
-        self.book.take_report(report, self._kernel.clock.now())
+        self.record.take_report(report, self._kernel.clock.now())
         self.on_report(self)
 
     def _apply_arrivals(self, report: EngineReport) -> None:
-        self.book.note_arrivals(report, self._kernel.clock.now())
+        self.record.note_arrivals(report, self._kernel.clock.now())
         self.on_change(self)
 
     def _handle_peek_failure(self, error: RoadliftError) -> None:
@@ -223,6 +223,6 @@
         self._check_refused(error)
         if self._is_open:
             log.event("report_failed", endpoint=self.endpoint.id, error=str(error))
-            self.book.note_failed_report(self._kernel.clock.now())
+            self.record.note_failed_report(self._kernel.clock.now())
             self.on_change(self)
-            self._wait(REPORT_PAUSE)
+            self._wait(REPORT_RETRY_DELAY)
--- a/roadlift/instance/owner.py
+++ b/roadlift/instance/owner.py
@@ -15,7 +15,7 @@
 # Seconds between two releases of one zone's lease in favour of other
 # instances: if none of them acquires it, the zone has no owner for some
 # seconds.
-HAND_BACK_PERIOD = 10.0
+RELEASE_INTERVAL = 10.0
 
 
 @parts.register("owner")
@@ -76,15 +76,15 @@
 
     def _handle_version(self, model: Model, version: int) -> None:
         for term in self._terms.values():
-            term.take_version(model, version)
+            term.handle_version(model, version)
 
     def _handle_subscription(self, sender: str, message: Subscribe) -> None:
         term = self._terms.get(message.zone)
         if term is None:
             return
-        term.take_subscription(message)
+        term.handle_subscription(message)
 
-    def consider_hand_back(self, message: Heartbeat) -> None:
+    def consider_release(self, message: Heartbeat) -> None:
         """Release a lease if a subscriber is better placed to hold it.
 
         That is an instance of the zone itself; one with a link that is fast
@@ -97,21 +97,21 @@
         if zone not in self._terms or not message.is_candidate:
             return
         is_weak = settings.link_mbps < OWNER_LINK <= message.link_mbps
-        is_lost = self._terms[zone].reaches_none
+        is_lost = self._terms[zone].reaches_no_engine
         if zone == settings.zone and not is_weak and not is_lost:
             return
         now = self._kernel.clock.now()
         last = self._released_at.get(zone, float("-inf"))
-        is_due = now - last >= HAND_BACK_PERIOD
+        is_due = now - last >= RELEASE_INTERVAL
         if is_due and self._leases.get(zone).may_order(now):
             self._released_at[zone] = now
             self._leases.hand_back(zone)
 
-    def take_ask(self, message: Ask) -> None:
+    def handle_load_request(self, message: Ask) -> None:
         """Load an adapter, or deny it if this process is not the owner."""
         term = self._terms.get(message.zone)
         if term is not None:
-            term.take_ask(message)
+            term.handle_load_request(message)
             return
         deny(self._kernel.get(Transport), message)
 
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -34,12 +34,12 @@
 # Seconds between two updates of what engines hold. Instances that requested an
 # adapter are notified at once; others may send a call to a copy that is gone,
 # which the engine then rejects.
-NEWS_PERIOD = 0.05
-LOADS_PERIOD = 0.05  # Seconds between two updates of the engines' loads.
-PULSE_PERIOD = 0.2  # Minimum seconds between two pulses to one subscriber.
-LOADS_AGE = 0.005  # Seconds for which computed loads are reused.
+UPDATE_INTERVAL = 0.05
+LOADS_INTERVAL = 0.05  # Seconds between two updates of the engines' loads.
+PULSE_INTERVAL = 0.2  # Minimum seconds between two pulses to one subscriber.
+LOADS_MAX_AGE = 0.005  # Seconds for which computed loads are reused.
 # Seconds without a message after which a subscriber is removed.
-SUBSCRIBER_LIMIT = 4.0
+SUBSCRIBER_TIMEOUT = 4.0
 
 log = PartLog("owner")
 
@@ -72,9 +72,9 @@
         self.engines: dict[str, OwnedEngine] = {}
 
     @property
-    def reaches_none(self) -> bool:
+    def reaches_no_engine(self) -> bool:
         """Return whether the zone has several engines and none answers."""
-        records = [engine.book for engine in self.engines.values()]
+        records = [engine.record for engine in self.engines.values()]
         return len(records) > 1 and all(record.is_unreachable for record in records)
 
     def close(self) -> None:
@@ -125,20 +125,20 @@
         engine = OwnedEngine(self._kernel, self._zone, endpoint, record)
         engine.on_change = self._publish_changes
         engine.on_report = self._publish_changes
-        engine.on_end = self._record_crash
+        engine.on_crash = self._record_crash
         self.engines[endpoint.id] = engine
         # Instances may have reported running calls there before the engine was
         # known here; those reports were ignored.
         self._completeness.doubt_all()
         engine.advance()
 
-    def take_version(self, model: Model, version: int) -> None:
+    def handle_version(self, model: Model, version: int) -> None:
         """Retire the copies of an adapter that are older than a version."""
         for engine in self.engines.values():
-            engine.book.retire(model, version)
+            engine.record.retire(model, version)
             self._publish_changes(engine)
 
-    def take_subscription(self, message: Subscribe) -> None:
+    def handle_subscription(self, message: Subscribe) -> None:
         """Count the reported uses, and send a subscriber what it lacks."""
         now = self._kernel.clock.now()
         self._subscribers[message.address] = now
@@ -152,11 +152,13 @@
                 continue
             model = Model(base, adapter)
             if begun:
-                engine.book.note_use(model, begun, now)
-            engine.book.usage.note_running(message.address, model, running)
+                engine.record.note_use(model, begun, now)
+            engine.record.usage.note_running(message.address, model, running)
         for endpoint, tokens in message.reading:
             if endpoint in self.engines:
-                self.engines[endpoint].book.usage.note_reading(message.address, tokens)
+                self.engines[endpoint].record.usage.note_reading(
+                    message.address, tokens
+                )
         if message.uses or message.reading:
             self._schedule_loads()
         self._catch_up(message, now)
@@ -166,7 +168,7 @@
         """Answer an aggregator, but not each of its frequent reports."""
         last = self._pulsed_at.get(address, float("-inf"))
         is_complete = self._completeness.is_complete(address)
-        if is_complete and now - last < PULSE_PERIOD:
+        if is_complete and now - last < PULSE_INTERVAL:
             return
         self._pulsed_at[address] = now
         changed = self._list_changed(address, now)
@@ -179,15 +181,15 @@
 
     def _compute_loads(self, now: float) -> dict[str, EngineLoad]:
         """Return the loads of the engines, computed once for all messages."""
-        if now - self._loads_at >= LOADS_AGE:
+        if now - self._loads_at >= LOADS_MAX_AGE:
             self._loads_at = now
             self._loads = {
                 name: EngineLoad(
-                    engine.book.usage.count_running(),
-                    engine.book.usage.count_reading(),
-                    engine.book.count_places(now),
-                    engine.book.count_loads_ahead(),
-                    engine.book.measure_load_time(),
+                    engine.record.usage.count_running(),
+                    engine.record.usage.count_reading(),
+                    engine.record.count_places(now),
+                    engine.record.count_loads_ahead(),
+                    engine.record.measure_load_time(),
                 )
                 for name, engine in self.engines.items()
             }
@@ -197,7 +199,7 @@
         """Schedule an update of changed loads."""
         if self._loads_timer is None:
             self._loads_timer = self._kernel.loop.call_later(
-                LOADS_PERIOD, self._send_loads
+                LOADS_INTERVAL, self._send_loads
             )
 
     def _send_loads(self) -> None:
@@ -208,7 +210,7 @@
             if changed:
                 self._transport.send(address, EngineLoads(self._zone, changed))
 
-    def take_ask(self, message: Ask) -> None:
+    def handle_load_request(self, message: Ask) -> None:
         """Load a requested adapter, or deny it."""
         now = self._kernel.clock.now()
         engine = self.engines.get(message.endpoint)
@@ -217,16 +219,16 @@
             deny(self._transport, message)
             return
         if message.is_missing:
-            engine.book.note_missing(model)
-        if engine.book.holds(model, message.least):
-            version = engine.book.copies[model].version
+            engine.record.note_missing(model)
+        if engine.record.holds(model, message.least):
+            version = engine.record.copies[model].version
             loaded = Loaded(message.endpoint, *model, version)
             self._transport.send(message.address, loaded)
             return
         if self._ledger.judge(lambda: self._identify(model)) is not None:
             deny(self._transport, message)
             return
-        if not engine.book.want(model, message.least, Urgency(*message.urgency), now):
+        if not engine.record.want(model, message.least, Urgency(*message.urgency), now):
             deny(self._transport, message)
             return
         requesters = self._requesters.setdefault((message.endpoint, model), set())
@@ -239,10 +241,10 @@
         self._requesters = {
             (name, model): requesters
             for (name, model), requesters in self._requesters.items()
-            if name in self.engines and self.engines[name].book.is_wanted(model)
+            if name in self.engines and self.engines[name].record.is_wanted(model)
         }
         for address, last_seen_at in list(self._subscribers.items()):
-            if now - last_seen_at > SUBSCRIBER_LIMIT:
+            if now - last_seen_at > SUBSCRIBER_TIMEOUT:
                 del self._subscribers[address]
                 self._members.pop(address, None)
                 self._pulsed_at.pop(address, None)
@@ -255,7 +257,7 @@
     def _forget_calls(self, address: str) -> None:
         """Drop the calls that an instance reported."""
         for engine in self.engines.values():
-            engine.book.usage.forget_instance(address)
+            engine.record.usage.forget_instance(address)
 
     def _is_ready(self, now: float) -> bool:
         return self._kernel.get(Leases).get(self._zone).may_order(now)
@@ -285,21 +287,24 @@
 
     def _make_listing(self) -> Listing:
         engines = [
-            [name, [[*model, held] for model, held in engine.book.list_held().items()]]
+            [
+                name,
+                [[*model, held] for model, held in engine.record.list_held().items()],
+            ]
             for name, engine in self.engines.items()
-            if engine.book.is_read
+            if engine.record.is_read
         ]
         return Listing(self._zone, self.fence, self._updates.serial, engines)
 
     def _publish_changes(self, engine: OwnedEngine) -> None:
         """Notify the requesters of changes, and schedule an update to all."""
         name = engine.endpoint.id
-        denied, engine.book.denied = engine.book.denied, []
+        denied, engine.record.denied = engine.record.denied, []
         for model, reason in denied:
             self._log_denial(engine, model, reason)
             for address in self._requesters.pop((name, model), ()):
                 self._transport.send(address, Denial(self._zone, name, *model))
-        changes, engine.book.changes = engine.book.changes, []
+        changes, engine.record.changes = engine.record.changes, []
         for model, version in changes:
             self._changes.append(Change(name, *model, version))
             if version >= 0:
@@ -310,14 +315,14 @@
             self._schedule_loads()
         if self._changes and self._updates_timer is None:
             self._updates_timer = self._kernel.loop.call_later(
-                NEWS_PERIOD, self._send_updates
+                UPDATE_INTERVAL, self._send_updates
             )
 
     def _record_crash(self, engine: OwnedEngine) -> None:
         """Record that an engine crashed: a load in flight may be the cause."""
         evidence = [
             Sign(self._identify(model), engine.endpoint.id, WEAK, 0.0)
-            for model in engine.book.list_arriving()
+            for model in engine.record.list_arriving()
         ]
         self._ledger.learn(evidence)
 
@@ -327,7 +332,7 @@
     def _log_denial(
         self, engine: OwnedEngine, model: Model, reason: DenialReason
     ) -> None:
-        record = engine.book
+        record = engine.record
         self._kernel.get(Measures).count("roadlift_denied_loads", reason.value)
         log.event(
             "load_denied",
--- a/tests/steps/restart_steps.py
+++ b/tests/steps/restart_steps.py
@@ -68,8 +68,8 @@
                 held = runners[engine.endpoint.name].held
                 found = {
                     model.adapter
-                    for model, copy in engine.book.copies.items()
-                    if copy.state is CopyState.HELD and engine.book.is_read
+                    for model, copy in engine.record.copies.items()
+                    if copy.state is CopyState.HELD and engine.record.is_read
                 }
                 is_old = (
                     engine.endpoint.started_at != runners[engine.endpoint.name].born
--- a/tests/steps/usage_steps.py
+++ b/tests/steps/usage_steps.py
@@ -38,7 +38,7 @@
 def step_count(context, count):
     """Add up what the owners think runs at their engines."""
     found = sum(
-        engine.book.usage.count_running()
+        engine.record.usage.count_running()
         for entry in context.entries.entries.values()
         for term in entry.kernel.get(Owner).list_terms()
         for engine in term.engines.values()
