--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -13,7 +13,7 @@
 from roadlift.instance.leases import Leases
 from roadlift.instance.measures import Measures
 from roadlift.instance.platform import Platform
-from roadlift.instance.standings import Standings
+from roadlift.instance.standings import Availabilities
 from roadlift.relay.upstream import Answer, fetch
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.engine import EngineBook, Plan
@@ -43,7 +43,7 @@
         self._orders = kernel.get(Platform).adapter.orders
         self._lease = kernel.get(Leases).get(zone)
         self._measures = kernel.get(Measures)
-        self._standings = kernel.get(Standings)
+        self._availabilities = kernel.get(Availabilities)
         self._process = kernel.settings.instance
         self._timer = None
         self._is_reading = False
@@ -117,7 +117,7 @@
 
     def _record_head(self, answer: Answer) -> None:
         """Record what the engine advertises in the head of any answer."""
-        self._standings.note_head(self.endpoint, answer.status, answer.headers)
+        self._availabilities.note_head(self.endpoint, answer.status, answer.headers)
 
     def _handle_failure(self, plan: Plan, order: Order, error: RoadliftError) -> None:
         self._check_refused(error)
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -15,7 +15,7 @@
 from roadlift.instance.limits import EndpointLimits, SendAnswer
 from roadlift.instance.permits import PendingPermit, PermitCallbacks, Permits
 from roadlift.instance.placing import Placing, Rest
-from roadlift.instance.standings import Standings
+from roadlift.instance.standings import Availabilities
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 
@@ -51,7 +51,7 @@
         self._placing = kernel.get(Placing)
         self._limits = kernel.get(EndpointLimits)
         self._permits = kernel.get(Permits)
-        self._standings = kernel.get(Standings)
+        self._standings = kernel.get(Availabilities)
         self._call = call
         self._service = service
         self._passage = passage
@@ -154,8 +154,8 @@
         """Count a send on a basis."""
         self._basis = basis
         self._sent_at = self._clock.now()
-        self._limits.note_send(endpoint, basis.fence > 0)
-        self._standings.note_send(endpoint)
+        self._limits.record_send(endpoint, basis.fence > 0)
+        self._standings.record_send(endpoint)
 
     def may_send(self, endpoint: Endpoint) -> bool:
         """Tell whether the first byte of the call may still be written."""
@@ -163,7 +163,7 @@
 
     def is_resting(self, endpoint: Endpoint) -> bool:
         """Tell whether an endpoint wants no calls for a while."""
-        return self._standings.wants_rest(endpoint.id)
+        return self._standings.is_backing_off(endpoint.id)
 
     def note_head(
         self,
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -33,7 +33,7 @@
 from roadlift.instance.refusals import RefusalLog
 from roadlift.instance.served import ServedAdapters
 from roadlift.instance.sharing import SharedUse
-from roadlift.instance.standings import Standings
+from roadlift.instance.standings import Availabilities
 from roadlift.relay.upstream import Address
 from roadlift.retries.window import WindowBudget
 from roadlift.serving.calls import Call, Model
@@ -71,7 +71,7 @@
         "placing",
         "platform",
         SharedUse.name,
-        Standings.name,
+        Availabilities.name,
     )
 
     def __init__(self, kernel: Kernel) -> None:
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -174,7 +174,7 @@
 
     # Sends and their answers.
 
-    def note_send(self, endpoint: Endpoint, is_granted: bool) -> None:
+    def record_send(self, endpoint: Endpoint, is_granted: bool) -> None:
         """Count a send; the owner is told of those without a permit."""
         now = self._clock.now()
         rate = self._send_rates.get(endpoint.id)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -16,7 +16,7 @@
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.limits import EndpointLimits
 from roadlift.instance.serviceloads import ServiceLoads
-from roadlift.instance.standings import Standings
+from roadlift.instance.standings import Availabilities
 from roadlift.instance.subscription import Subscription
 from roadlift.instance.waiting import Waiter, Wish
 from roadlift.serving.calls import Call, Model
@@ -62,7 +62,7 @@
         "knowledge",
         EndpointLimits.name,
         "serviceloads",
-        Standings.name,
+        Availabilities.name,
         "subscription",
     )
 
@@ -70,7 +70,7 @@
         self._kernel = kernel
         self._follower = kernel.get(Follower)
         self._knowledge = kernel.get(Knowledge)
-        self._standings = kernel.get(Standings)
+        self._standings = kernel.get(Availabilities)
         self._subscription = kernel.get(Subscription)
         self._services = kernel.get(ServiceLoads)
         self._limits = kernel.get(EndpointLimits)
@@ -229,7 +229,7 @@
         self, service: str, excluded: set[str], now: float
     ) -> list[Endpoint]:
         ready = self._follower.directory.list_ready(service)
-        usable = self.health.list_usable(self._standings.list_awake(ready), now)
+        usable = self.health.list_usable(self._standings.list_available(ready), now)
         return [one for one in usable if one.id not in excluded]
 
     def _list_last_resort(self, service: str, excluded: set[str]) -> list[Endpoint]:
@@ -239,7 +239,7 @@
             for one in self._follower.directory.list_service(service)
             if one.id not in excluded
             and self._standings.is_last_resort(one.id)
-            and not self._standings.measure_rest(one.id)
+            and not self._standings.measure_backoff(one.id)
         ]
 
     def find_rest(self, service: str, model: Model | None) -> Rest | None:
@@ -249,7 +249,7 @@
         the service rest; None where there are none.
         """
         ready = self._follower.directory.list_ready(service)
-        rests = [Rest(one, self._standings.measure_rest(one.id)) for one in ready]
+        rests = [Rest(one, self._standings.measure_backoff(one.id)) for one in ready]
         resting = [rest for rest in rests if rest.seconds > 0.0]
         if len(resting) < len(ready):
             least = self._follower.find_version(model) if model is not None else 0
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -24,15 +24,15 @@
 
 # Maximum number of unknown header names that a process logs: the callers'
 # applications may invent any number of names.
-MOST_UNKNOWN = 32
-TELL_GAP = 1.0  # Seconds between two drain notices about one endpoint.
-LOG_GAP = 1.0  # Seconds between two log lines on back-offs of one endpoint.
+MAX_UNKNOWN_HEADERS = 32
+NOTICE_INTERVAL = 1.0  # Seconds between two drain notices about one endpoint.
+LOG_INTERVAL = 1.0  # Seconds between two log lines on back-offs of one endpoint.
 
 log = PartLog("standings")
 
 
 @parts.register("standings")
-class Standings:
+class Availabilities:
     """The endpoints that are draining or requested a back-off."""
 
     name = "standings"
@@ -66,20 +66,20 @@
 
     # Queries.
 
-    def list_awake(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
+    def list_available(self, endpoints: Sequence[Endpoint]) -> Sequence[Endpoint]:
         """Return the endpoints that this instance is not backing off from."""
         if not self._known:
             return endpoints
         return [
-            endpoint for endpoint in endpoints if not self.measure_rest(endpoint.id)
+            endpoint for endpoint in endpoints if not self.measure_backoff(endpoint.id)
         ]
 
-    def measure_rest(self, endpoint: str) -> float:
+    def measure_backoff(self, endpoint: str) -> float:
         """Return the seconds until a call may be sent to an endpoint."""
         known = self._known.get(endpoint)
         return known.measure_rest(self._clock.now()) if known else 0.0
 
-    def wants_rest(self, endpoint: str) -> bool:
+    def is_backing_off(self, endpoint: str) -> bool:
         """Return whether an endpoint's back-off has not ended yet."""
         known = self._known.get(endpoint)
         return known is not None and self._clock.now() < known.rest_until
@@ -107,7 +107,7 @@
 
     # Sends and their answers.
 
-    def note_send(self, endpoint: Endpoint) -> None:
+    def record_send(self, endpoint: Endpoint) -> None:
         """Count a call that is sent."""
         known = self._known.get(endpoint.id)
         if known is not None:
@@ -131,9 +131,9 @@
         for name in statement.unknown:
             self._count_unknown_header(endpoint, name)
         if statement.is_leaving:
-            self._note_leaving(endpoint, status, age)
+            self._record_drain_notice(endpoint, status, age)
         if statement.rest:
-            self._note_rest(endpoint, statement.rest, status, age)
+            self._record_backoff(endpoint, statement.rest, status, age)
         elif age is not None and not statement.is_turned_away:
             self._record_accepted(endpoint, age)
         return statement
@@ -145,7 +145,9 @@
     def _find(self, endpoint: str) -> Standing:
         return self._known.setdefault(endpoint, Standing())
 
-    def _note_leaving(self, endpoint: Endpoint, status: int, age: float | None) -> None:
+    def _record_drain_notice(
+        self, endpoint: Endpoint, status: int, age: float | None
+    ) -> None:
         now = self._clock.now()
         if self._find(endpoint.id).note_leaving(now):
             log.event(
@@ -158,11 +160,11 @@
             )
             self._follower.note_leaving(endpoint.id)
             self._update_metrics(endpoint.service)
-        if now - self._notified_at.get(endpoint.id, float("-inf")) >= TELL_GAP:
+        if now - self._notified_at.get(endpoint.id, float("-inf")) >= NOTICE_INTERVAL:
             self._notified_at[endpoint.id] = now
             self._publish(LeavingNews(self._peer, endpoint.id, False))
 
-    def _note_rest(
+    def _record_backoff(
         self, endpoint: Endpoint, seconds: float, status: int, age: float | None
     ) -> None:
         now = self._clock.now()
@@ -172,7 +174,7 @@
         kept = state.rest_until - now
         self._loop.call_later(kept, lambda: self._end_backoff(endpoint))
         self._update_metrics(endpoint.service)
-        if now - self._logged_at.get(endpoint.id, float("-inf")) < LOG_GAP:
+        if now - self._logged_at.get(endpoint.id, float("-inf")) < LOG_INTERVAL:
             return
         self._logged_at[endpoint.id] = now
         log.event(
@@ -240,7 +242,10 @@
     def _count_unknown_header(self, endpoint: Endpoint, name: str) -> None:
         """Count a header that no table lists, and log its name once."""
         self._measures.count("roadlift_unknown_headers", endpoint.service)
-        if name in self._logged_headers or len(self._logged_headers) >= MOST_UNKNOWN:
+        if (
+            name in self._logged_headers
+            or len(self._logged_headers) >= MAX_UNKNOWN_HEADERS
+        ):
             return
         self._logged_headers.add(name)
         log.event(
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -16,7 +16,7 @@
 from roadlift.instance.follower import Follower
 from roadlift.instance.ingress import Ingress
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.standings import Standings
+from roadlift.instance.standings import Availabilities
 from roadlift.serving.engine import EngineBook
 from roadlift.serving.eras import StoreEras
 from roadlift.serving.lease import Lease
@@ -116,12 +116,12 @@
 
 def _ignore_leaving() -> None:
     """Send to endpoints that said that they leave."""
-    Standings._note_leaving = lambda self, endpoint, status, age: None
+    Availabilities._record_drain_notice = lambda self, endpoint, status, age: None
 
 
 def _ignore_rests() -> None:
     """Send to endpoints that asked for rest."""
-    Standings._note_rest = lambda self, endpoint, seconds, status, age: None
+    Availabilities._record_backoff = lambda self, endpoint, seconds, status, age: None
 
 
 def _ignore_eras() -> None:
