--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -15,7 +15,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.instance.allowances import Allowances, UseNow
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.serving.calls import Call
 from roadlift.serving.routes import Organisation, Route
 
@@ -112,7 +112,7 @@
         self._kernel = kernel
         self._allowances = kernel.get(Allowances)
         self._follower = kernel.get(Follower)
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._named: set[str] = set()
 
     def start(self) -> None:
--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -6,7 +6,7 @@
 from roadlift.core.errors import NoEndpoint, RoadliftError
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.placement import Option
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.placing import Placing
 from roadlift.instance.waiting import Waiter
 from roadlift.serving.calls import Call
@@ -47,7 +47,7 @@
         self._clock = kernel.clock
         self._loop = kernel.loop
         self._placing = kernel.get(Placing)
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._call = call
         self._route = route
         self._service = service
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -9,7 +9,7 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.organisations.fleet import LEAST_DEMAND, FleetState, FleetUse, Use
 from roadlift.organisations.shares import Limits, Meter
 from roadlift.organisations.sharing import DemandSharing
@@ -43,7 +43,7 @@
     def __init__(self, kernel: Kernel) -> None:
         settings = kernel.settings
         self._kernel = kernel
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._limits = Limits(
             settings.allowance_over,
             settings.allowance_slack,
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -4,13 +4,13 @@
 from roadlift.core.logs import PartLog
 from roadlift.core.traffic import Count, Kind
 from roadlift.daemon.transport import Transport
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.interfaces import StoreCall
 
 # Seconds between two log lines and updates of the metrics. A line takes some
 # 600 bytes.
-PERIOD = 10.0
+PUBLISH_INTERVAL = 10.0
 
 log = PartLog("control")
 
@@ -24,7 +24,7 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._loop = kernel.loop
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._traffic = kernel.get(Transport).traffic
         self._store = kernel.get(Platform).store
         self._published_counts: dict[Kind, Count] = {}
@@ -33,7 +33,7 @@
 
     def start(self) -> None:
         """Begin to publish."""
-        self._timer = self._loop.call_every(PERIOD, self._publish)
+        self._timer = self._loop.call_every(PUBLISH_INTERVAL, self._publish)
 
     def close(self) -> None:
         """Publish for the last time."""
@@ -48,13 +48,11 @@
         for kind, count in counts.items():
             before = self._published_counts.get(kind, Count(0, 0))
             increment = count.messages - before.messages
-            self._measures.add("roadlift_messages", increment, *kind)
-            self._measures.add(
-                "roadlift_message_bytes", count.size - before.size, *kind
-            )
+            self._metrics.add("roadlift_messages", increment, *kind)
+            self._metrics.add("roadlift_message_bytes", count.size - before.size, *kind)
         for call, count in calls.items():
             increment = count - self._published_calls.get(call, 0)
-            self._measures.add("roadlift_store_calls", increment, *call)
+            self._metrics.add("roadlift_store_calls", increment, *call)
         self._published_counts, self._published_calls = counts, calls
         log.event(
             "control_costs",
--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -12,7 +12,7 @@
 from roadlift.instance.crashnews import CrashSync
 from roadlift.instance.crashrows import CrashRows
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.serving.directory import Endpoint
 
 log = PartLog("crashes")
@@ -35,7 +35,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
         self._follower = kernel.get(Follower)
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._ledger = kernel.get(CrashLedger)
         self._sync = CrashSync(kernel)
         self._rows = CrashRows(kernel)
@@ -90,7 +90,7 @@
         log.event(
             "endpoint_ended", endpoint=end.endpoint, cut=end.cut, suspects=suspects
         )
-        self._measures.count("roadlift_endpoint_ends", known.service)
+        self._metrics.count("roadlift_endpoint_ends", known.service)
         self._ledger.learn(
             [
                 Sign(identity, end.endpoint, weight, 0.0)
@@ -100,4 +100,4 @@
 
     def _update_metrics(self, identity: bytes) -> None:
         quarantined = self._ledger.crashes.count_refused()
-        self._measures.set("roadlift_barred_work", quarantined)
+        self._metrics.set("roadlift_barred_work", quarantined)
--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -11,7 +11,7 @@
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.standings import Availabilities
 from roadlift.relay.upstream import Answer, fetch
@@ -42,7 +42,7 @@
         self._kernel = kernel
         self._orders = kernel.get(Platform).adapter.orders
         self._lease = kernel.get(Leases).get(zone)
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._availabilities = kernel.get(Availabilities)
         self._process = kernel.settings.instance
         self._timer = None
@@ -130,7 +130,7 @@
     ) -> None:
         if not self._is_open:
             return
-        self._measures.count("roadlift_orders", str(order.action), result.value)
+        self._metrics.count("roadlift_orders", str(order.action), result.value)
         log.event(
             "order",
             action=order.action,
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -9,7 +9,7 @@
 from roadlift.core.errors import InvalidConfiguration, MalformedMessage
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
 from roadlift.organisations.freshness import Freshness, RelayedState
@@ -69,7 +69,7 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._format = kernel.get(Platform).adapter.state
         self._readers: list[TableReader] = []
         self._timer = None
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -25,7 +25,7 @@
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.owner import Owner
 from roadlift.instance.permits import Permits
 from roadlift.instance.placing import Placing
@@ -83,7 +83,7 @@
         self._placing = kernel.get(Placing)
         self._knowledge = kernel.get(Knowledge)
         self._access = kernel.get(Access)
-        self.measures = kernel.get(Measures)
+        self.measures = kernel.get(InstanceMetrics)
         self._exchanges: set[Exchange] = set()
         self._budgets: dict[str, WindowBudget] = {}
         self._served = 0
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -7,7 +7,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreReturn
 from roadlift.serving.interfaces import Rows, RowWrite, StoreTime
@@ -67,7 +67,7 @@
         settings = kernel.settings
         self._kernel = kernel
         self._store = kernel.get(Platform).store
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._process = f"{settings.instance}#{kernel.stamp}"
         self._zones = sorted({settings.zone, *filter(None, settings.zones.split(","))})
         quiet = settings.holder_quiet_ms / 1000.0
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -15,7 +15,7 @@
 from roadlift.decisions.limits import NO_BASIS, Basis, Floor, adapt
 from roadlift.decisions.rates import Rate
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.statements import Statement
 
@@ -133,7 +133,7 @@
         self._clock = kernel.clock
         self._rng = random.Random(kernel.stamp)
         self._follower = kernel.get(Follower)
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._known: dict[str, KnownLimit] = {}
         self._ended_at: dict[str, float] = {}
         self._send_rates: dict[str, Rate] = {}
@@ -343,8 +343,8 @@
             if self._find_service(name) == service
         ]
         if service is not None:
-            self._measures.set("roadlift_limited_endpoints", len(limits), service)
-            self._measures.set("roadlift_endpoint_limits", sum(limits), service)
+            self._metrics.set("roadlift_limited_endpoints", len(limits), service)
+            self._metrics.set("roadlift_endpoint_limits", sum(limits), service)
 
     def _find_service(self, endpoint: str) -> str | None:
         found = self._follower.directory.get(endpoint)
--- a/roadlift/instance/measures.py
+++ b/roadlift/instance/measures.py
@@ -1,7 +1,7 @@
 """Collect and serve the metrics of an instance of the interface ``routes``.
 
 They are served at an address of their own in the text format of Prometheus.
-docs/ref/metrics.md is generated from MEASURES.
+docs/ref/metrics.md is generated from INSTANCE_METRICS.
 """
 
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 _KINDS = {"counter": Counter, "gauge": Gauge, "histogram": Histogram}
 
 
-class Measure(NamedTuple):
+class InstanceMetric(NamedTuple):
     """One metric; ``advice`` tells operators what to do when it rises."""
 
     name: str
@@ -35,8 +35,8 @@
     advice: str
 
 
-MEASURES = (
-    Measure(
+INSTANCE_METRICS = (
+    InstanceMetric(
         "roadlift_calls",
         "counter",
         "calls",
@@ -44,7 +44,7 @@
         "Calls that ended, by outcome: served, refused, failed, cancelled, cut.",
         "See the `call_ended` events of that outcome; `error` has the cause.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_first_seconds",
         "histogram",
         "s",
@@ -52,7 +52,7 @@
         "Time from a call's arrival to the first byte of its answer.",
         "Check whether waits for loads rise with it, or one engine became slow.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_call_seconds",
         "histogram",
         "s",
@@ -60,7 +60,7 @@
         "Time from a call's arrival to the end of its answer.",
         "As for the first byte.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_wait_seconds",
         "histogram",
         "s",
@@ -68,7 +68,7 @@
         "Time that calls waited for their adapter, where they had to.",
         "Check for `load_denied`, unanswered orders and zones without an owner.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_predicted_waits",
         "counter",
         "calls",
@@ -77,7 +77,7 @@
         "came: loaded, or overdue and refused.",
         "Many overdue: check for `load_denied` and unanswered orders.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_refusals",
         "counter",
         "requests",
@@ -85,7 +85,7 @@
         "Requests refused before a route was followed, by error code.",
         "`no_configuration`: the store could not be read since the start.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_failed_sends",
         "counter",
         "sends",
@@ -93,7 +93,7 @@
         "Sends to endpoints that failed, and why the call was not sent again.",
         "`retry budget spent`: one or all endpoints fail; see the ejections.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_limited_endpoints",
         "gauge",
         "endpoints",
@@ -101,7 +101,7 @@
         "Endpoints that name a limit of calls, as this instance knows them.",
         "See `limit_changed`; these endpoints are rate-limited.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_endpoint_limits",
         "gauge",
         "calls a second",
@@ -109,7 +109,7 @@
         "The sum of the limits that endpoints name.",
         "Below the demand: calls are refused as `limit_reached`.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_limited_sends",
         "counter",
         "sends",
@@ -118,7 +118,7 @@
         "began, or, where no owner was heard, unheard and floor, by an own part.",
         "`unheard`: the owner of the endpoint's zone can't be reached.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_leaving_endpoints",
         "gauge",
         "endpoints",
@@ -127,7 +127,7 @@
         "See `endpoint_leaving`; if all of a service drain, its calls are refused "
         "until others are ready.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_resting_endpoints",
         "gauge",
         "endpoints",
@@ -135,7 +135,7 @@
         "Endpoints that asked this instance for time without calls.",
         "See `endpoint_resting`; if all of a service back off, calls are refused.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_held_sends",
         "counter",
         "sends",
@@ -144,7 +144,7 @@
         "meanwhile that it leaves or wants rest, or its entry drains or is gone.",
         "Many: calls wait long for connections or permits.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_unknown_headers",
         "counter",
         "headers",
@@ -152,7 +152,7 @@
         "Headers of endpoints' answers that no table of the adapter lists.",
         "See `header_unknown`: endpoints may send information that is ignored.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_ejections",
         "counter",
         "ejections",
@@ -160,7 +160,7 @@
         "Endpoints that were passed over for what became of their calls.",
         "Inspect the endpoint; its id is in `endpoint_ejected`.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_endpoint_ends",
         "counter",
         "ends",
@@ -168,7 +168,7 @@
         "Endpoints that ended while they ran calls of this instance.",
         "Check for `endpoint_ended` and `work_barred`: one call may be the cause.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_barred_work",
         "gauge",
         "calls and loads",
@@ -176,7 +176,7 @@
         "Calls and loads that are refused as endpoints ended under the same.",
         "`work_barred` has their identities; deleting a row admits its work again.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_organisation_calls",
         "counter",
         "calls",
@@ -185,7 +185,7 @@
         "allowance; beyond 64 organisations all others are one.",
         "`over_allowance`: see `call_refused` for the share, the use and the demand.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_allowance_part",
         "gauge",
         "part",
@@ -194,7 +194,7 @@
         "are asked for most; it binds while the allowance is nearly used up.",
         "Far below its share of the calls: check the link to the aggregator.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_configuration_age_seconds",
         "gauge",
         "s",
@@ -202,7 +202,7 @@
         "Time for which a change of the configuration may have gone unnoticed here.",
         "Near `revoke_ms` calls with keys are refused: check the link to the store.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_running_calls",
         "gauge",
         "calls",
@@ -210,7 +210,7 @@
         "Calls that this instance has taken and not ended.",
         "Compare with the other instances: the balancer distributes by caller.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_orders",
         "counter",
         "orders",
@@ -218,7 +218,7 @@
         "Orders to engines by result; `unknown` had no answer.",
         "`unknown` or `conflict`: engines answer late, or another owner is active.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_denied_loads",
         "counter",
         "loads",
@@ -227,7 +227,7 @@
         "unreachable.",
         "`roadlift unserved` lists the adapters that no call was served with.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_held_leases",
         "gauge",
         "zones",
@@ -235,7 +235,7 @@
         "Zones whose engines this instance gives orders to.",
         "All instances together should hold each zone once.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_lease_changes",
         "counter",
         "changes",
@@ -243,7 +243,7 @@
         "Leases gained, lost and given back.",
         "`lost`: the store was slow or unavailable, or the instance was suspended.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_configuration_version",
         "gauge",
         "version",
@@ -251,7 +251,7 @@
         "The configuration in force.",
         "An instance whose version stays older than others' can't read the store.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_store_era",
         "gauge",
         "era",
@@ -259,7 +259,7 @@
         "The era that the platform's store told last, where it rose since the start.",
         "It rises each time the store comes back older; see `store_came_back_older`.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_store_failures",
         "counter",
         "reads",
@@ -267,7 +267,7 @@
         "Reads of the platform's store that failed.",
         "Compare instances: a single one is disconnected or rejected.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_messages",
         "counter",
         "messages",
@@ -275,7 +275,7 @@
         "Messages with other instances, by type, `out` or `in`.",
         "Compare instances: an owner's grow with its number of subscribers.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_message_bytes",
         "counter",
         "bytes",
@@ -283,7 +283,7 @@
         "Their bytes, without those of TCP.",
         "An owner's `out` near its link's rate: its zone's loads are delayed.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_store_calls",
         "counter",
         "calls",
@@ -291,7 +291,7 @@
         "Calls to the platform's store.",
         "Many `follow` of an instance that owns nothing: no owner relays rows to it.",
     ),
-    Measure(
+    InstanceMetric(
         "roadlift_dropped_lines",
         "gauge",
         "lines",
@@ -306,7 +306,7 @@
 
 
 @parts.register("measures")
-class Measures:
+class InstanceMetrics:
     """The metrics of this process, and their address if one is set."""
 
     name = "measures"
@@ -316,7 +316,8 @@
         self._kernel = kernel
         self._registry = CollectorRegistry()
         self._metrics = {
-            measure.name: _make_metric(measure, self._registry) for measure in MEASURES
+            metric.name: _make_metric(metric, self._registry)
+            for metric in INSTANCE_METRICS
         }
         self._cache: dict[tuple[str, tuple[str, ...]], object] = {}
         self._server: Server | None = None
@@ -387,8 +388,8 @@
         return found
 
 
-def _make_metric(measure: Measure, registry: CollectorRegistry):
-    options = {"buckets": BUCKETS} if measure.kind == "histogram" else {}
-    return _KINDS[measure.kind](
-        measure.name, measure.meaning, measure.labels, registry=registry, **options
+def _make_metric(metric: InstanceMetric, registry: CollectorRegistry):
+    options = {"buckets": BUCKETS} if metric.kind == "histogram" else {}
+    return _KINDS[metric.kind](
+        metric.name, metric.meaning, metric.labels, registry=registry, **options
     )
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -30,7 +30,7 @@
     LimitAnnouncement,
     ReportedLimit,
 )
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.subscription import Subscription
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import SendAsk, SendGrant
@@ -112,7 +112,7 @@
         self._knowledge = kernel.get(Knowledge)
         self._leases = kernel.get(Leases)
         self._limits = kernel.get(EndpointLimits)
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._subscription = kernel.get(Subscription)
         self._request_numbers = itertools.count(1)
         self._pending: dict[int, PendingPermit] = {}
@@ -339,7 +339,7 @@
             callbacks.on_denied(message.delay)
 
     def _count(self, endpoint: Endpoint, outcome: str) -> None:
-        self._measures.count("roadlift_limited_sends", endpoint.service, outcome)
+        self._metrics.count("roadlift_limited_sends", endpoint.service, outcome)
 
     # As an aggregator or an owner.
 
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -15,7 +15,7 @@
 from roadlift.decisions.standing import Standing
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.subscription import Subscription
 from roadlift.serving.directory import Endpoint
@@ -49,7 +49,7 @@
         self._leases = kernel.get(Leases)
         self._subscription = kernel.get(Subscription)
         self._transport = kernel.get(Transport)
-        self._measures = kernel.get(Measures)
+        self._metrics = kernel.get(InstanceMetrics)
         self._known: dict[str, Standing] = {}
         self._notified_at: dict[str, float] = {}
         self._logged_at: dict[str, float] = {}
@@ -102,7 +102,7 @@
         is_listed = found is not None and not found.is_draining
         if is_open and (is_listed or self.is_last_resort(endpoint.id)):
             return True
-        self._measures.count("roadlift_held_sends", endpoint.service)
+        self._metrics.count("roadlift_held_sends", endpoint.service)
         return False
 
     # Sends and their answers.
@@ -229,8 +229,8 @@
         ]
         draining = sum(state.left_at is not None for state in found)
         backing_off = sum(now < state.rest_until for state in found)
-        self._measures.set("roadlift_leaving_endpoints", draining, service)
-        self._measures.set("roadlift_resting_endpoints", backing_off, service)
+        self._metrics.set("roadlift_leaving_endpoints", draining, service)
+        self._metrics.set("roadlift_resting_endpoints", backing_off, service)
 
     def _log_fault(self, endpoint: Endpoint, fault: RoadliftError) -> None:
         """Log an invalid header once for each endpoint and error code."""
@@ -241,7 +241,7 @@
 
     def _count_unknown_header(self, endpoint: Endpoint, name: str) -> None:
         """Count a header that no table lists, and log its name once."""
-        self._measures.count("roadlift_unknown_headers", endpoint.service)
+        self._metrics.count("roadlift_unknown_headers", endpoint.service)
         if (
             name in self._logged_headers
             or len(self._logged_headers) >= MAX_UNKNOWN_HEADERS
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -5,7 +5,7 @@
 from roadlift.core.errors import HistoryGone, RoadliftError
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreReturn
 from roadlift.serving.interfaces import Rows
@@ -39,7 +39,7 @@
         self._loop = kernel.loop
         self._clock = kernel.clock
         self._store = kernel.get(Platform).store
-        self._measures = kernel.get(Measures)
+        self._measures = kernel.get(InstanceMetrics)
         self._table = table
         self._measure_wait = measure_wait
         self._period = period
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -11,7 +11,7 @@
 from roadlift.instance.engine import OwnedEngine
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from roadlift.serving.calls import Model
 from roadlift.serving.copies import CopyState
 from roadlift.serving.directory import Endpoint
@@ -333,7 +333,7 @@
         self, engine: OwnedEngine, model: Model, reason: DenialReason
     ) -> None:
         record = engine.record
-        self._kernel.get(Measures).count("roadlift_denied_loads", reason.value)
+        self._kernel.get(InstanceMetrics).count("roadlift_denied_loads", reason.value)
         log.event(
             "load_denied",
             endpoint=engine.endpoint.id,
--- a/tests/steps/measure_steps.py
+++ b/tests/steps/measure_steps.py
@@ -7,7 +7,7 @@
 
 from roadlift.http.messages import Received
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import Measures
+from roadlift.instance.measures import InstanceMetrics
 from tests.support.configuration import BASE
 
 
@@ -56,7 +56,7 @@
 
 
 def _render(entry):
-    return entry.kernel.get(Measures).render().decode()
+    return entry.kernel.get(InstanceMetrics).render().decode()
 
 
 @then('the metrics of a contain "{sample}"')
@@ -107,8 +107,8 @@
 def step_request_metrics(context, target):
     """Pass a request to the handler of the metrics."""
     context.caller = _Caller()
-    measures = context.entries.entries["a"].kernel.get(Measures)
-    measures.handle(Received("GET", target, {}, b""), context.caller)
+    metrics = context.entries.entries["a"].kernel.get(InstanceMetrics)
+    metrics.handle(Received("GET", target, {}, b""), context.caller)
 
 
 @then("the answer is {status:d}")
