--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -15,7 +15,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.instance.allowances import Allowances, UseNow
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.calls import Call
 from roadlift.serving.routes import Organisation, Route
 
--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -6,7 +6,7 @@
 from roadlift.core.errors import NoEndpoint, RoadliftError
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.placement import Option
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.placing import Placing
 from roadlift.instance.waiting import Waiter
 from roadlift.serving.calls import Call
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -9,7 +9,7 @@
 
 from roadlift.core.kernel import Kernel, parts
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.organisations.fleet import LEAST_DEMAND, FleetState, FleetUse, Use
 from roadlift.organisations.shares import Limits, Meter
 from roadlift.organisations.sharing import DemandSharing
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/availabilities.py
@@ -15,7 +15,7 @@
 from roadlift.decisions.standing import Standing
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.subscription import Subscription
 from roadlift.serving.directory import Endpoint
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -4,7 +4,7 @@
 from roadlift.core.logs import PartLog
 from roadlift.core.traffic import Count, Kind
 from roadlift.daemon.transport import Transport
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.interfaces import StoreCall
 
--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -10,10 +10,10 @@
 )
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
-from roadlift.instance.standings import Availabilities
 from roadlift.relay.upstream import Answer, fetch
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.engine import EngineBook, Plan
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -9,7 +9,7 @@
 from roadlift.core.errors import InvalidConfiguration, MalformedMessage
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
 from roadlift.organisations.freshness import Freshness, RelayedState
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -12,10 +12,10 @@
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.limits import NO_BASIS, Basis
 from roadlift.instance.adapterwait import COME_BACK
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.limits import EndpointLimits, SendAnswer
 from roadlift.instance.permits import PendingPermit, PermitCallbacks, Permits
 from roadlift.instance.placing import Placing, Rest
-from roadlift.instance.standings import Availabilities
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -18,6 +18,7 @@
 from roadlift.http.server import Server
 from roadlift.instance.access import Access
 from roadlift.instance.aggregator import Aggregator
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.control import ControlCosts
 from roadlift.instance.crashes import CrashMonitor
 from roadlift.instance.exchange import Exchange
@@ -25,7 +26,7 @@
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.owner import Owner
 from roadlift.instance.permits import Permits
 from roadlift.instance.placing import Placing
@@ -33,7 +34,6 @@
 from roadlift.instance.refusals import RefusalLog
 from roadlift.instance.served import ServedAdapters
 from roadlift.instance.sharing import SharedUse
-from roadlift.instance.standings import Availabilities
 from roadlift.relay.upstream import Address
 from roadlift.retries.window import WindowBudget
 from roadlift.serving.calls import Call, Model
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -7,7 +7,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreReturn
 from roadlift.serving.interfaces import Rows, RowWrite, StoreTime
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -15,7 +15,7 @@
 from roadlift.decisions.limits import NO_BASIS, Basis, Floor, adapt
 from roadlift.decisions.rates import Rate
 from roadlift.instance.follower import Follower
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.statements import Statement
 
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -30,7 +30,7 @@
     LimitAnnouncement,
     ReportedLimit,
 )
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.subscription import Subscription
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import SendAsk, SendGrant
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -12,11 +12,11 @@
 from roadlift.decisions.silence import SilenceWatch
 from roadlift.decisions.spread import SPARE_FILL
 from roadlift.decisions.urgency import Urgency
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.limits import EndpointLimits
 from roadlift.instance.serviceloads import ServiceLoads
-from roadlift.instance.standings import Availabilities
 from roadlift.instance.subscription import Subscription
 from roadlift.instance.waiting import Waiter, Wish
 from roadlift.serving.calls import Call, Model
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -5,7 +5,7 @@
 from roadlift.core.errors import HistoryGone, RoadliftError
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreReturn
 from roadlift.serving.interfaces import Rows
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -11,7 +11,7 @@
 from roadlift.instance.engine import OwnedEngine
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.calls import Model
 from roadlift.serving.copies import CopyState
 from roadlift.serving.directory import Endpoint
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -12,11 +12,11 @@
 from roadlift.endpoints.events import EventFrames
 from roadlift.instance.access import Access
 from roadlift.instance.allowances import Allowances
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.exchange import Exchange
 from roadlift.instance.follower import Follower
 from roadlift.instance.ingress import Ingress
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.standings import Availabilities
 from roadlift.serving.engine import EngineBook
 from roadlift.serving.eras import StoreEras
 from roadlift.serving.lease import Lease
--- a/tests/steps/limit_steps.py
+++ b/tests/steps/limit_steps.py
@@ -101,12 +101,12 @@
 def step_announce_while(context, limit, endpoint, seconds, trouble):
     """Let endpoints announce a limit, and cause a fault after a third."""
     step_announce(context, endpoint, limit, seconds / 3)
-    bring_trouble(context, trouble, float(limit))
+    cause_fault(context, trouble, float(limit))
     left = context.named_at + seconds - context.entries.installation.clock.now()
     context.entries.advance(max(0.0, left))
 
 
-def bring_trouble(context, trouble, limit=0.0):
+def cause_fault(context, trouble, limit=0.0):
     """Cause a fault; ``limit`` is what the endpoints announce."""
     _FAULTS[trouble](context, limit)
 
--- a/tests/steps/measure_steps.py
+++ b/tests/steps/measure_steps.py
@@ -7,7 +7,7 @@
 
 from roadlift.http.messages import Received
 from roadlift.instance.leases import Leases
-from roadlift.instance.measures import InstanceMetrics
+from roadlift.instance.metrics import InstanceMetrics
 from tests.support.configuration import BASE
 
 
--- a/tests/steps/standing_steps.py
+++ b/tests/steps/standing_steps.py
@@ -7,7 +7,7 @@
 from roadlift.decisions.standing import Standing
 from roadlift.instance.follower import Follower
 from tests.steps.limit_steps import (
-    bring_trouble,
+    cause_fault,
     find_endpoints,
     start_callers,
     step_instances,
@@ -52,7 +52,7 @@
 def step_drain_while(context, endpoint, seconds, trouble):
     """Let endpoints give notice, and cause a fault after a third."""
     step_drain(context, endpoint, seconds / 3)
-    bring_trouble(context, trouble)
+    cause_fault(context, trouble)
     context.entries.advance(seconds * 2 / 3)
 
 
