--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -175,7 +175,7 @@
     # Sends and their answers.
 
     def record_send(self, endpoint: Endpoint, is_granted: bool) -> None:
-        """Count a send; the owner is told of those without a permit."""
+        """Count a send; those without a permit are reported to the owner."""
         now = self._clock.now()
         rate = self._send_rates.get(endpoint.id)
         if rate is None:
@@ -188,7 +188,7 @@
     def record_answer(
         self, endpoint: Endpoint, answer: SendAnswer
     ) -> LimitAnnouncement | None:
-        """Update the limit from an answer; return what to tell the owner."""
+        """Update the limit from an answer; return what to report, or None."""
         if answer.statement.has_fault(InvalidLimit):
             return None
         limit = adapt(answer.statement.limit)
