--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -9,8 +9,8 @@
 from roadlift.crashes.turns import Turns
 from roadlift.decisions.crashes import Sign
 from roadlift.instance.aggregator import Aggregator
+from roadlift.instance.crashnews import CrashSync
 from roadlift.instance.crashrows import CrashRows
-from roadlift.instance.crashsync import CrashSync
 from roadlift.instance.follower import Follower
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.directory import Endpoint
