--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -12,10 +12,10 @@
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.limits import NO_BASIS, Basis
 from roadlift.instance.adapterwait import COME_BACK
-from roadlift.instance.limits import Answered, EndpointLimits
-from roadlift.instance.permits import Outcome, Permits, SendWait
+from roadlift.instance.availabilities import Availabilities
+from roadlift.instance.limits import EndpointLimits, SendAnswer
+from roadlift.instance.permits import PendingPermit, PermitCallbacks, Permits
 from roadlift.instance.placing import Placing, Rest
-from roadlift.instance.standings import Standings
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 
@@ -51,11 +51,11 @@
         self._placing = kernel.get(Placing)
         self._limits = kernel.get(EndpointLimits)
         self._permits = kernel.get(Permits)
-        self._standings = kernel.get(Standings)
+        self._standings = kernel.get(Availabilities)
         self._call = call
         self._service = service
         self._passage = passage
-        self._waiting: SendWait | None = None
+        self._waiting: PendingPermit | None = None
         self._basis = NO_BASIS
         self._sent_at = 0.0
         self.denied: set[str] = set()
@@ -74,11 +74,11 @@
         if known is None:
             self._passage.on_open(endpoint, NO_BASIS)
             return
-        named = round(self._clock.now() - known.named_at, 3)
+        named = round(self._clock.now() - known.announced_at, 3)
         self._passage.on_step(
             "limit", endpoint=endpoint.id, limit=known.limit, named=named
         )
-        outcome = Outcome(
+        outcome = PermitCallbacks(
             lambda basis: self._on_granted(endpoint, basis),
             lambda wait: self._on_denied(endpoint, wait),
         )
@@ -163,7 +163,7 @@
 
     def is_resting(self, endpoint: Endpoint) -> bool:
         """Tell whether an endpoint wants no calls for a while."""
-        return self._standings.wants_rest(endpoint.id)
+        return self._standings.is_backing_off(endpoint.id)
 
     def note_head(
         self,
@@ -175,7 +175,7 @@
         """Learn from the answer's head, and tell the endpoint's owner."""
         age = self._clock.now() - self._sent_at
         statement = self._standings.note_head(endpoint, status, headers, age)
-        answer = Answered(status, statement, has_run, self._basis, age)
-        naming = self._limits.note_answer(endpoint, answer)
+        answer = SendAnswer(status, statement, has_run, self._basis, age)
+        naming = self._limits.record_answer(endpoint, answer)
         if naming is not None:
-            self._permits.tell(endpoint, naming)
+            self._permits.report_announcement(endpoint, naming)
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -18,14 +18,15 @@
 from roadlift.http.server import Server
 from roadlift.instance.access import Access
 from roadlift.instance.aggregator import Aggregator
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.control import ControlCosts
-from roadlift.instance.crashes import CrashWatch
+from roadlift.instance.crashes import CrashMonitor
 from roadlift.instance.exchange import Exchange
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.measures import Measures
+from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.owner import Owner
 from roadlift.instance.permits import Permits
 from roadlift.instance.placing import Placing
@@ -33,7 +34,6 @@
 from roadlift.instance.refusals import RefusalLog
 from roadlift.instance.served import ServedAdapters
 from roadlift.instance.sharing import SharedUse
-from roadlift.instance.standings import Standings
 from roadlift.relay.upstream import Address
 from roadlift.retries.window import WindowBudget
 from roadlift.serving.calls import Call, Model
@@ -60,7 +60,7 @@
         Aggregator.name,
         ControlCosts.name,
         CrashLedger.name,
-        CrashWatch.name,
+        CrashMonitor.name,
         "follower",
         "knowledge",
         "leases",
@@ -71,7 +71,7 @@
         "placing",
         "platform",
         SharedUse.name,
-        Standings.name,
+        Availabilities.name,
     )
 
     def __init__(self, kernel: Kernel) -> None:
@@ -83,7 +83,7 @@
         self._placing = kernel.get(Placing)
         self._knowledge = kernel.get(Knowledge)
         self._access = kernel.get(Access)
-        self.measures = kernel.get(Measures)
+        self.measures = kernel.get(InstanceMetrics)
         self._exchanges: set[Exchange] = set()
         self._budgets: dict[str, WindowBudget] = {}
         self._served = 0
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -12,11 +12,11 @@
 from roadlift.endpoints.events import EventFrames
 from roadlift.instance.access import Access
 from roadlift.instance.allowances import Allowances
+from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.exchange import Exchange
 from roadlift.instance.follower import Follower
 from roadlift.instance.ingress import Ingress
 from roadlift.instance.limits import EndpointLimits
-from roadlift.instance.standings import Standings
 from roadlift.serving.engine import EngineBook
 from roadlift.serving.eras import StoreEras
 from roadlift.serving.lease import Lease
@@ -101,7 +101,7 @@
 
 def _ignore_limits() -> None:
     """Send to endpoints whatever they name as their limits."""
-    EndpointLimits.note_answer = lambda self, endpoint, answer: None
+    EndpointLimits.record_answer = lambda self, endpoint, answer: None
 
 
 def _ignore_age() -> None:
@@ -116,12 +116,12 @@
 
 def _ignore_leaving() -> None:
     """Send to endpoints that said that they leave."""
-    Standings._note_leaving = lambda self, endpoint, status, age: None
+    Availabilities._record_drain_notice = lambda self, endpoint, status, age: None
 
 
 def _ignore_rests() -> None:
     """Send to endpoints that asked for rest."""
-    Standings._note_rest = lambda self, endpoint, seconds, status, age: None
+    Availabilities._record_backoff = lambda self, endpoint, seconds, status, age: None
 
 
 def _ignore_eras() -> None:
