--- a/roadlift/serving/copies.py
+++ b/roadlift/serving/copies.py
@@ -1,15 +1,15 @@
-"""Know where a copy of an adapter at an engine stands."""
+"""Track the state of an adapter's copy at an engine."""
 
 import enum
 
-NEXT_POLL = 0.01  # Seconds between the first and the second asking.
+NEXT_POLL = 0.01  # Seconds between the first and the second poll.
 
 
 class CopyState(enum.Enum):
-    """Where a copy of an adapter stands.
+    """The state of an adapter's copy.
 
-    LEAVING and REPLACING wait for the runs on the copy to end; until then
-    the engine takes no order but the one that is repeated.
+    LEAVING and REPLACING wait for the calls that run on the copy to end.
+    Until then the engine accepts no order but a repetition of this one.
     """
 
     ARRIVING = "arriving"
@@ -21,7 +21,8 @@
 class Copy:
     """A copy of an adapter at the engine.
 
-    ``version`` is the one held, ``target`` the one ordered.
+    ``version`` is the version held, ``target`` the version ordered;
+    ``is_return`` is set if the engine held the adapter before.
     """
 
     __slots__ = (
--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -1,14 +1,15 @@
-"""Plan the orders of one engine: what it loads, and what makes way for it.
-
-The owner's record of an engine. One order is under way at a time, and each
-names how many the engine must have accepted before, so that one which is
-carried out late meets another count and does nothing. For the same reason an
-order without an answer is sent again at once: whichever of the two arrives
-first is accepted, and the other finds it done or meets another count.
-
-A poll is an order that repeats one on its way, which the engine answers
-without counting it. An order may overtake a poll, which then meets another
-count and is sent again; no poll is sent before an order's answer is known.
+"""Plan the orders of one engine: which adapters to load and which to evict.
+
+This is the owner's record of an engine. One order is in flight at a time.
+Each states how many orders the engine must have accepted before, so that an
+order that arrives late finds a different count and has no effect. For the same
+reason an order that got no answer is resent at once: whichever of the two
+arrives first is accepted, and the other finds the work done or a different
+count.
+
+A poll repeats an order that is being carried out; the engine answers it
+without counting it. An order may overtake a poll, which then finds a different
+count and is sent again. No poll is sent while an order awaits its answer.
 """
 
 import enum
@@ -28,41 +29,47 @@
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 from roadlift.serving.usage import Usage
 
-# Sends of an order that may go unanswered before its outcome is in doubt. At
-# 3 unanswered of 10, the worst seen, 1 order of 100 comes to that.
+# Resends of an unanswered order before its outcome counts as unconfirmed. With
+# 3 of 10 sends unanswered, the worst rate seen, 1 order of 100 gets there.
 MOST_RESENDS = 3
-# Polls of one copy in a row without a useful answer, until the report is read.
+# Consecutive polls of one copy without a useful answer before the engine's
+# report is read.
 MOST_FAILED_POLLS = 3
-MOST_POLL = 0.1  # Seconds between later askings at most.
-POLL_GROWTH = 1.5
-BASE_POLL = 0.3  # Seconds between askings after a base model's load.
-RETRY_PAUSE = 0.05  # Seconds behind an order that was refused or not sent.
-DOUBT_PAUSE = 0.6  # Seconds behind an order in doubt until the report has it.
-# Seconds behind a copy's last use in which it may run calls that the
-# instances have not told of yet: their period, and a message's way.
+MOST_POLL = 0.1  # Seconds between polls at most.
+POLL_GROWTH = 1.5  # Factor by which the interval grows with each poll.
+BASE_POLL = 0.3  # Seconds between polls of a base model's load.
+RETRY_PAUSE = 0.05  # Seconds after an order that was refused or not sent.
+# Seconds after an unconfirmed order until the engine's report shows it.
+DOUBT_PAUSE = 0.6
+# Seconds after a copy's last use in which it may run calls that the instances
+# have not reported yet: their report interval and a message's transit time.
 FRESH_USE = 0.2
-# Seconds that an adapter waits for a copy that runs nothing to make way, or to
-# be replaced. Then it is denied, and asked for at another engine: an order for
-# a copy that runs calls would hold up all others until they end.
+# Seconds that an adapter waits for a copy without running calls that can be
+# evicted or replaced. Then it is denied, and requested at another engine: an
+# order for a copy that runs calls would block all others until they end.
 PATIENCE = 0.5
-NO_VICTIM_PAUSE = 0.05  # Seconds until a victim is looked for again.
-# Seconds between reports that are read while an order holds up all others and
-# adapters arrive meanwhile. A report costs a hundredth of a load and less.
+NO_VICTIM_PAUSE = 0.05  # Seconds until the next search for a victim.
+# Seconds between reads of the report while an order blocks all others and
+# adapters are loading. A report costs a hundredth of a load or less.
 PEEK_PERIOD = 0.15
-# Reports in a row that can't be read behind which an engine is unreachable.
+# Consecutive unreadable reports after which an engine is unreachable.
 MOST_FAILED_REPORTS = 2
-MOST_WANTED = 64  # Adapters that wait for one engine.
-# Seconds behind the last asking for an adapter at which nobody waits for it
-# any more; instances ask again each 0.3 s while a call waits.
+MOST_WANTED = 64  # Adapters queued for one engine.
+# Seconds after the last request for an adapter at which no call waits for it
+# any longer; instances repeat the request every 0.3 s while a call waits.
 WANT_LIFE = 1.0
 
 
-# Stands for all adapters of an engine in what changed there.
+# Stands for all adapters of an engine in ``EngineBook.changes``.
 EVERYTHING = Model("")
 
 
 class Wanted(NamedTuple):
-    """An adapter that is asked for, last at ``asked_at`` (in seconds)."""
+    """An adapter that is queued for loading.
+
+    ``least`` is the oldest version that will do; ``asked_at`` is the time of
+    the last request, in seconds.
+    """
 
     model: Model
     least: int
@@ -73,10 +80,10 @@
 class DenialReason(enum.Enum):
     """Why an adapter will not be loaded at an engine soon.
 
-    NO_VICTIM: calls run on all copies; OLD_VERSION: calls run on its older
-    version, which the new one would replace; NOT_TAKEN: the engine did not
-    take the order; UNREACHABLE: the engine's report can't be read; TOO_LATE:
-    its load would begin when it serves no call any more.
+    NO_VICTIM: calls run on all copies. OLD_VERSION: calls run on its older
+    version, which the new one would replace. NOT_TAKEN: the engine did not
+    accept the order. UNREACHABLE: the engine's report can't be read.
+    TOO_LATE: its load would begin too late to serve any call.
     """
 
     NO_VICTIM = "no_victim"
@@ -96,9 +103,9 @@
 class Plan(NamedTuple):
     """The next order to send.
 
-    ``is_poll`` tells that it repeats one under way to learn how it stands:
-    the engine answers it without counting it as accepted. ``tries`` counts
-    the sends before this one that got no answer.
+    With ``is_poll`` it repeats an order to query its progress; the engine
+    answers it without counting it as accepted. ``tries`` counts the earlier
+    sends that got no answer.
     """
 
     action: Action
@@ -111,9 +118,10 @@
 class EngineBook:
     """The owner's record of one engine.
 
-    ``changes`` gathers (model, version) for the subscribers; a version of -1
-    tells that the adapter is gone, of EVERYTHING that the engine holds none of
-    what another owner told. ``denied`` gathers what will not be loaded.
+    ``changes`` collects (model, version) for the subscribers. A version of -1
+    means that the adapter is gone; with ``EVERYTHING`` it means that all that
+    an earlier owner reported of the engine is void. ``denied`` collects the
+    adapters that will not be loaded.
     """
 
     def __init__(
@@ -125,22 +133,22 @@
         denials: Denials | None = None,
     ) -> None:
         self._slots = slots
-        self._times = times
+        self._load_times = times
         self._base_loads = base_loads
         self._denials = denials or Denials()
         self._is_base_ordered = False
-        self._seen: set[Model] = set()
-        self._wanted_bases = bases
+        self._held_before: set[Model] = set()
+        self._configured_bases = bases
         self._base_poll_at = 0.0
         self._evictor = AgedFrequencyEvictor()
         self._uses = UseHistory()
-        self._wanted: dict[Model, Wanted] = {}
-        self._pause_until = 0.0
+        self._queue: dict[Model, Wanted] = {}
+        self._backoff_until = 0.0
         self._hold_until = 0.0
         self._in_flight: Plan | None = None
-        self._again: Plan | None = None
+        self._resend: Plan | None = None
         self._poll: Plan | None = None
-        self._peek_at = 0.0
+        self._next_report_at = 0.0
         self._failed_reports = 0
         self.usage = Usage()
         self.sequence: int | None = None
@@ -155,8 +163,8 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no order or poll is under way."""
-        return self._in_flight is self._again is self._poll is None
+        """Return whether no order or poll is in flight."""
+        return self._in_flight is self._resend is self._poll is None
 
     def list_held(self) -> dict[Model, int]:
         """Return the adapters that may be used, with their versions."""
@@ -167,13 +175,13 @@
         }
 
     def holds(self, model: Model, least: int) -> bool:
-        """Tell whether an adapter may be used at a version or newer."""
+        """Return whether an adapter may be used at a version or newer."""
         copy = self.copies.get(model)
         return (
             copy is not None and copy.state is CopyState.HELD and copy.version >= least
         )
 
-    # What the instances tell.
+    # Reports and requests from the instances.
 
     def note_use(self, model: Model, count: int, now: float) -> None:
         """Count uses of an adapter."""
@@ -182,32 +190,32 @@
     def count_places(self, now: float) -> int:
         """Return how many further adapters could be loaded now.
 
-        A negative number tells how many wait beyond that.
+        If more are queued than there are free slots, the number is negative.
         """
-        taken = sum(
-            copy.state is not CopyState.HELD or not self._is_quiet(model, now)
+        occupied = sum(
+            copy.state is not CopyState.HELD or not self._has_no_calls(model, now)
             for model, copy in self.copies.items()
         )
-        waiting = sum(model not in self.copies for model in self._wanted)
+        waiting = sum(model not in self.copies for model in self._queue)
         if self._is_blocked():
-            taken = self._slots
-        return self._slots - taken - waiting
+            occupied = self._slots
+        return self._slots - occupied - waiting
 
     def count_loads_ahead(self) -> int:
-        """Return the loads on their way or waiting for their turn."""
-        waiting = sum(model not in self.copies for model in self._wanted)
+        """Return the number of loads in progress or queued."""
+        waiting = sum(model not in self.copies for model in self._queue)
         return self.count_copies(CopyState.ARRIVING) + waiting
 
     def measure_load_time(self) -> float:
-        """Return the seconds that a load of this owner's engines takes."""
-        return round(self._times.duration, 2)
+        """Return the seconds that a load takes at this owner's engines."""
+        return round(self._load_times.duration, 2)
 
     def count_copies(self, state: CopyState) -> int:
         """Return how many copies are in a state."""
         return sum(copy.state is state for copy in self.copies.values())
 
     def list_arriving(self) -> list[Model]:
-        """Return the adapters whose loads are on their way."""
+        """Return the adapters that are being loaded."""
         return [
             model
             for model, copy in self.copies.items()
@@ -215,39 +223,39 @@
         ]
 
     def want(self, model: Model, least: int, urgency: Urgency, now: float) -> bool:
-        """Ask for an adapter; False means that it won't be loaded in time.
+        """Queue an adapter for loading; False if it can't be loaded in time.
 
-        An engine that loads for callers who have left serves nobody.
+        A load that ends after its callers have disconnected is wasted.
         """
-        known = self._wanted.get(model)
+        known = self._queue.get(model)
         since = self._denials.find_since(model, now)
         if self.is_unreachable:
             return False
-        if known is None and not self._may_wait(since, urgency):
+        if known is None and not self._can_begin_in_time(since, urgency):
             self._denials.note(model, now)
             return False
         if known is not None:
             least = max(least, known.least)
         want = merge_want(known.want if known else None, urgency, now, since)
-        self._wanted[model] = Wanted(model, least, want, now)
+        self._queue[model] = Wanted(model, least, want, now)
         return True
 
-    def _may_wait(self, since: float, urgency: Urgency) -> bool:
-        """Tell whether a load would begin in time behind those before it."""
+    def _can_begin_in_time(self, since: float, urgency: Urgency) -> bool:
+        """Return whether a load would begin in time, given the loads ahead."""
         earlier = sum(
-            wanted.want.since <= since and wanted.model not in self.copies
-            for wanted in self._wanted.values()
+            queued.want.since <= since and queued.model not in self.copies
+            for queued in self._queue.values()
         )
         ahead = self.count_copies(CopyState.ARRIVING) + earlier
-        queue = measure_queue(ahead, self._times.duration)
-        return len(self._wanted) < MOST_WANTED and queue <= urgency.limit
+        queue = measure_queue(ahead, self._load_times.duration)
+        return len(self._queue) < MOST_WANTED and queue <= urgency.limit
 
     def is_wanted(self, model: Model) -> bool:
-        """Tell whether an adapter is asked for and not there yet."""
-        return model in self._wanted
+        """Return whether an adapter is requested and not loaded yet."""
+        return model in self._queue
 
     def retire(self, model: Model, version: int) -> None:
-        """Use a copy no more that is older than the declared version."""
+        """Mark a copy as outdated if it is older than the declared version."""
         copy = self.copies.get(model)
         if copy is None or copy.is_outdated or copy.target >= version:
             return
@@ -256,17 +264,17 @@
             self.changes.append((model, -1))
 
     def note_missing(self, model: Model) -> None:
-        """Learn that the engine refused a call for want of an adapter."""
+        """Record that the engine refused a call for lack of an adapter."""
         copy = self.copies.get(model)
         if copy is not None and copy.state is CopyState.HELD:
             del self.copies[model]
             self.needs_report = True
             self.changes.append((model, -1))
 
-    # What the engine tells.
+    # Reports from the engine.
 
     def take_report(self, report: EngineReport, now: float) -> None:
-        """Take what the engine says, read while no order was under way."""
+        """Apply the engine's report, read while no order was in flight."""
         self.needs_report = False
         self._failed_reports = 0
         if not self.is_read:
@@ -274,8 +282,8 @@
             self.changes.append((EVERYTHING, -1))
         self.sequence = report.sequence
         self.bases = set(report.bases)
-        held = {one.model: one.version for one in report.held}
-        arriving = {one.model: one.version for one in report.arriving}
+        held = {adapter.model: adapter.version for adapter in report.held}
+        arriving = {adapter.model: adapter.version for adapter in report.arriving}
         for model in set(self.copies) - set(held) - set(arriving):
             self._remove(model)
         for model, version in held.items():
@@ -291,23 +299,23 @@
             return
         if not is_same:
             copy = self.copies[model] = Copy(state, version, now)
-            # A copy of which nothing is known counts as used when it was seen.
+            # A copy of unknown history counts as used when it was first seen.
             self._uses.find(model, now)
         if state is CopyState.HELD:
-            self._note_held(model, copy, version, now)
+            self._record_held(model, copy, version, now)
 
-    def _note_held(self, model: Model, copy: Copy, version: int, now: float) -> None:
+    def _record_held(self, model: Model, copy: Copy, version: int, now: float) -> None:
         copy.state = CopyState.HELD
         copy.version = copy.target = version
         copy.is_outdated = False
-        self._seen.add(model)
+        self._held_before.add(model)
         self._denials.forget(model)
         self.changes.append((model, version))
-        wanted = self._wanted.get(model)
-        if wanted is not None and version >= wanted.least:
-            # The calls that waited for it begin now, before they are told of.
+        queued = self._queue.get(model)
+        if queued is not None and version >= queued.least:
+            # The calls that waited for it begin now, before they are reported.
             self.note_use(model, 1, now)
-            del self._wanted[model]
+            del self._queue[model]
 
     def _remove(self, model: Model) -> None:
         copy = self.copies.pop(model)
@@ -319,12 +327,12 @@
     def plan(self, now: float) -> Plan | None:
         """Return the next order or poll, or None.
 
-        note_result tells how each ended.
+        The caller passes the outcome of each to ``note_result``.
         """
-        if self._in_flight is None and self._again is not None:
-            self._in_flight, self._again = self._again, None
+        if self._in_flight is None and self._resend is not None:
+            self._in_flight, self._resend = self._resend, None
             return self._in_flight
-        if self.needs_report or now < self._pause_until:
+        if self.needs_report or now < self._backoff_until:
             return None
         if self._in_flight is None:
             self._in_flight = self._choose(now)
@@ -342,11 +350,11 @@
         times = [] if self._poll is not None else self._list_poll_times()
         times += self._list_order_times(now)
         if self._is_blocked():
-            arrivals = self._list_arrivals()
-            times += [max(at, self._peek_at) for at in arrivals]
+            poll_times = self._list_load_poll_times()
+            times += [max(at, self._next_report_at) for at in poll_times]
         if not times:
             return None
-        return max(0.0, min(times) - now, self._pause_until - now)
+        return max(0.0, min(times) - now, self._backoff_until - now)
 
     def _list_poll_times(self) -> list[float]:
         is_blocked = self._is_blocked()
@@ -359,13 +367,13 @@
 
     def _list_order_times(self, now: float) -> list[float]:
         if not self.bases:
-            return [self._base_poll_at] if self._wanted_bases else []
-        if self._wanted and not self._is_blocked() and not self._is_full():
+            return [self._base_poll_at] if self._configured_bases else []
+        if self._queue and not self._is_blocked() and not self._has_max_loads():
             return [max(now, self._hold_until)]
         return []
 
-    def _list_arrivals(self) -> list[float]:
-        """Return when adapters on their way are due to be asked after."""
+    def _list_load_poll_times(self) -> list[float]:
+        """Return when the adapters being loaded are due for a poll."""
         return [
             copy.poll_at
             for copy in self.copies.values()
@@ -373,96 +381,97 @@
         ]
 
     def take_peek(self, now: float) -> bool:
-        """Tell whether to read a report for the adapters that arrive.
+        """Return whether to read a report for the adapters being loaded.
 
-        The engine answers no order while another waits for runs to end.
+        The engine answers no order while another waits for running calls to
+        end. If a report is due, the time of the next one is set.
         """
-        arrivals = self._list_arrivals()
-        is_due = bool(arrivals) and now >= max(self._peek_at, min(arrivals))
+        poll_times = self._list_load_poll_times()
+        is_due = bool(poll_times) and now >= max(self._next_report_at, min(poll_times))
         if not is_due or not self._is_blocked():
             return False
-        self._peek_at = now + PEEK_PERIOD
+        self._next_report_at = now + PEEK_PERIOD
         return True
 
     def note_arrivals(self, report: EngineReport, now: float) -> None:
-        """Learn from a report which of the arriving adapters are there."""
+        """Record which of the adapters being loaded a report shows as held."""
         for held in report.held:
             copy = self.copies.get(held.model)
             if copy is not None and copy.state is CopyState.ARRIVING:
-                self._note_held(held.model, copy, held.version, now)
+                self._record_held(held.model, copy, held.version, now)
 
-    def _is_full(self) -> bool:
-        """Tell whether as many adapters are on their way as may be."""
+    def _has_max_loads(self) -> bool:
+        """Return whether the engine has the maximum of concurrent loads."""
         return self.count_copies(CopyState.ARRIVING) >= MOST_ARRIVING
 
     def measure_pause(self, now: float) -> float:
         """Return the seconds until the report may be read."""
-        return max(0.0, self._pause_until - now)
+        return max(0.0, self._backoff_until - now)
 
     def _choose(self, now: float) -> Plan | None:
         plan = self._choose_base(now)
         if plan is not None or now < self._hold_until or self._is_blocked():
             return plan
-        self._drop_stale(now)
+        self._expire_queued(now)
         ranked = sorted(
-            self._wanted.values(), key=lambda one: one.want.measure_rank(now)
+            self._queue.values(), key=lambda queued: queued.want.measure_rank(now)
         )
-        for wanted in ranked:
-            copy = self.copies.get(wanted.model)
+        for queued in ranked:
+            copy = self.copies.get(queued.model)
             if copy is None:
-                plan = self._choose_load(wanted, now)
+                plan = self._choose_load(queued, now)
                 if plan is not None:
                     return plan
-            elif copy.state is CopyState.HELD and copy.version < wanted.least:
-                if self._is_quiet(wanted.model, now):
-                    return self._order_load(wanted, copy)
-                self._hold_off(wanted, DenialReason.OLD_VERSION, now)
+            elif copy.state is CopyState.HELD and copy.version < queued.least:
+                if self._has_no_calls(queued.model, now):
+                    return self._order_load(queued, copy)
+                self._delay_or_deny(queued, DenialReason.OLD_VERSION, now)
         return None
 
-    def _drop_stale(self, now: float) -> None:
-        """Forget the adapters that are asked for no more, or too late."""
-        for wanted in list(self._wanted.values()):
-            if now - wanted.asked_at > WANT_LIFE:
-                del self._wanted[wanted.model]
-            elif now > wanted.want.until and wanted.model not in self.copies:
-                self._deny(wanted.model, DenialReason.TOO_LATE, now)
+    def _expire_queued(self, now: float) -> None:
+        """Drop queued adapters that are no longer requested, or too late."""
+        for queued in list(self._queue.values()):
+            if now - queued.asked_at > WANT_LIFE:
+                del self._queue[queued.model]
+            elif now > queued.want.until and queued.model not in self.copies:
+                self._deny(queued.model, DenialReason.TOO_LATE, now)
 
     def _deny(self, model: Model, reason: DenialReason, now: float) -> None:
-        """Give an adapter up that is wanted here."""
-        del self._wanted[model]
+        """Remove an adapter from the queue and record its denial."""
+        del self._queue[model]
         self._denials.note(model, now)
         self.denied.append(Denied(model, reason))
 
-    def _hold_off(self, wanted: Wanted, reason: DenialReason, now: float) -> None:
-        """Let an adapter wait a little for running calls, or deny it."""
-        if now - wanted.want.began_at >= PATIENCE:
-            self._deny(wanted.model, reason, now)
+    def _delay_or_deny(self, queued: Wanted, reason: DenialReason, now: float) -> None:
+        """Delay an adapter that waits for running calls to end, or deny it."""
+        if now - queued.want.began_at >= PATIENCE:
+            self._deny(queued.model, reason, now)
         else:
             self._hold_until = now + NO_VICTIM_PAUSE
 
-    def _is_quiet(self, model: Model, now: float) -> bool:
-        """Tell whether no call runs on a copy, as far as is known."""
+    def _has_no_calls(self, model: Model, now: float) -> bool:
+        """Return whether no call is known to run on a copy."""
         last = self._uses.find(model, now).last
         return not self.usage.is_running(model) and now - last >= FRESH_USE
 
     def _is_blocked(self) -> bool:
-        """Tell whether an order waits for runs, and holds up all others."""
+        """Return whether an order that waits for calls blocks all others."""
         return any(
             copy.state in (CopyState.LEAVING, CopyState.REPLACING)
             for copy in self.copies.values()
         )
 
     def _choose_base(self, now: float) -> Plan | None:
-        """Load the base model of an engine that holds none."""
-        if self.bases or not self._wanted_bases or now < self._base_poll_at:
+        """Return an order for the base model if the engine has none."""
+        if self.bases or not self._configured_bases or now < self._base_poll_at:
             return None
         if not self._is_base_ordered and not self._base_loads.take(now):
             self._base_poll_at = self._base_loads.next_at
             return None
-        return Plan(Action.LOAD, Model(self._wanted_bases[0]), None)
+        return Plan(Action.LOAD, Model(self._configured_bases[0]), None)
 
     def _choose_poll(self, now: float) -> Plan | None:
-        """Ask after a copy on its way by giving its order again."""
+        """Return a poll of a copy that is due: its order, repeated."""
         is_blocked = self._is_blocked()
         for model, copy in self.copies.items():
             if copy.state is CopyState.HELD or now < copy.poll_at:
@@ -475,14 +484,14 @@
             return Plan(Action.LOAD, model, copy.target or None, True)
         return None
 
-    def _choose_load(self, wanted: Wanted, now: float) -> Plan | None:
-        if wanted.model.base not in self.bases or self._is_full():
+    def _choose_load(self, queued: Wanted, now: float) -> Plan | None:
+        if queued.model.base not in self.bases or self._has_max_loads():
             return None
         if len(self.copies) < self._slots:
-            return self._order_load(wanted, None)
+            return self._order_load(queued, None)
         victim = self._choose_victim(now)
         if victim is None:
-            self._hold_off(wanted, DenialReason.NO_VICTIM, now)
+            self._delay_or_deny(queued, DenialReason.NO_VICTIM, now)
             return None
         self.evictions += 1
         copy = self.copies[victim]
@@ -492,17 +501,17 @@
         self.changes.append((victim, -1))
         return Plan(Action.UNLOAD, victim, None)
 
-    def _order_load(self, wanted: Wanted, copy: Copy | None) -> Plan:
+    def _order_load(self, queued: Wanted, copy: Copy | None) -> Plan:
         if copy is not None:
-            # A replacement: its runs end before the new version is there.
+            # A replacement: running calls end before the new version loads.
             copy.state = CopyState.REPLACING
-            copy.target = wanted.least
-            self.changes.append((wanted.model, -1))
+            copy.target = queued.least
+            self.changes.append((queued.model, -1))
         self.loads += 1
-        return Plan(Action.LOAD, wanted.model, wanted.least or None)
+        return Plan(Action.LOAD, queued.model, queued.least or None)
 
     def _choose_victim(self, now: float) -> Model | None:
-        """Return the copy worth least of those that run nothing, or None."""
+        """Return the least valuable copy without running calls, or None."""
         worth = lambda model: self._evictor.measure_worth(
             self._uses.find(model, now), now
         )
@@ -510,87 +519,87 @@
             model
             for model, copy in self.copies.items()
             if copy.state is CopyState.HELD
-            and model not in self._wanted
-            and self._is_quiet(model, now)
+            and model not in self._queue
+            and self._has_no_calls(model, now)
         ]
         outdated = [model for model in idle if self.copies[model].is_outdated]
         return min(outdated or idle, key=worth, default=None)
 
     def note_result(self, plan: Plan, result: OrderResult, now: float) -> None:
-        """Learn how an order or a poll under way ended."""
+        """Record the outcome of the order or poll in flight."""
         if plan.is_poll:
             self._poll = None
-            self._note_poll(plan, result, now)
+            self._record_poll(plan, result, now)
             return
         self._in_flight = None
         if result is OrderResult.DONE:
-            self._finish(plan, now)
+            self._record_done(plan, now)
         elif result is OrderResult.ACCEPTED:
             is_repeated = not plan.model.adapter and self._is_base_ordered
             self.sequence += 0 if is_repeated else 1
-            self._await(plan, now)
+            self._record_accepted(plan, now)
         elif result is OrderResult.UNKNOWN and plan.tries < MOST_RESENDS:
-            self._again = plan._replace(tries=plan.tries + 1)
+            self._resend = plan._replace(tries=plan.tries + 1)
         elif result in (OrderResult.CONFLICT, OrderResult.UNKNOWN):
-            # The count is another than was thought, or an order is under way
-            # that is not known here: the report tells. It lags behind an
-            # order that may just have been taken.
-            self._doubt(plan, now)
-            self._ask_report(now + DOUBT_PAUSE)
+            # The engine's count differs from the expected one, or it carries
+            # out an order that is unknown here. Its report shows which, but
+            # is some hundred milliseconds late for an order just accepted.
+            self._record_unconfirmed(plan, now)
+            self._request_report(now + DOUBT_PAUSE)
         else:
-            self._give_up(plan)
-            self._ask_report(now + RETRY_PAUSE)
+            self._record_refused(plan)
+            self._request_report(now + RETRY_PAUSE)
 
     def note_failed_report(self, now: float) -> None:
-        """Learn that the engine's report could not be read.
+        """Record that the engine's report could not be read.
 
-        What has waited for long is given up, behind a second failure in a row
-        all of it, as the engine can't be reached.
+        Denies the adapters that have waited too long; after a second
+        consecutive failure all of them, as the engine is unreachable.
         """
         self._failed_reports += 1
-        for model, wanted in list(self._wanted.items()):
-            is_old = now - wanted.want.began_at >= PATIENCE
-            if is_old or self.is_unreachable:
+        for model, queued in list(self._queue.items()):
+            has_timed_out = now - queued.want.began_at >= PATIENCE
+            if has_timed_out or self.is_unreachable:
                 self._deny(model, DenialReason.UNREACHABLE, now)
 
     @property
     def is_unreachable(self) -> bool:
-        """Tell whether no report could be read twice in a row."""
+        """Return whether too many consecutive reports could not be read."""
         return self._failed_reports >= MOST_FAILED_REPORTS
 
-    def _ask_report(self, pause_until: float) -> None:
-        self._pause_until = pause_until
+    def _request_report(self, backoff_until: float) -> None:
+        self._backoff_until = backoff_until
         self.needs_report = True
 
-    def _note_poll(self, plan: Plan, result: OrderResult, now: float) -> None:
+    def _record_poll(self, plan: Plan, result: OrderResult, now: float) -> None:
         copy = self.copies.get(plan.model)
         if copy is None or copy.state is CopyState.HELD:
-            # The report has told meanwhile.
+            # A report has settled it in the meantime.
             return
         if result is OrderResult.DONE and plan.action is Action.UNLOAD:
             del self.copies[plan.model]
         elif result is OrderResult.DONE:
-            self._times.note(copy.is_return, now - copy.since, copy.polls)
-            self._note_held(plan.model, copy, plan.version or 0, now)
+            self._load_times.note(copy.is_return, now - copy.since, copy.polls)
+            self._record_held(plan.model, copy, plan.version or 0, now)
         elif result is OrderResult.ACCEPTED:
             copy.failed_polls = 0
-            self._plan_poll(copy, now)
+            self._schedule_poll(copy, now)
         elif copy.failed_polls < MOST_FAILED_POLLS:
-            # It changes nothing, answered or not, so it may be repeated.
+            # A poll has no effect, answered or not, so it can be repeated.
             copy.failed_polls += 1
-            self._plan_poll(copy, now)
+            self._schedule_poll(copy, now)
         else:
-            self._ask_report(now + DOUBT_PAUSE)
+            self._request_report(now + DOUBT_PAUSE)
 
-    def _plan_poll(self, copy: Copy, now: float) -> None:
+    def _schedule_poll(self, copy: Copy, now: float) -> None:
         copy.poll_at = now + copy.poll_pause
         copy.poll_pause = min(MOST_POLL, copy.poll_pause * POLL_GROWTH)
 
-    def _finish(self, plan: Plan, now: float) -> None:
-        """Take an order as carried out at once.
+    def _record_done(self, plan: Plan, now: float) -> None:
+        """Record an order that was carried out at once.
 
-        A load that was there already is not counted by the engine, but where
-        an earlier send of it may have been what brought it.
+        The engine does not count a load of an adapter that it already held.
+        After a resend it counts one, as an earlier send caused the load.
         """
         if not plan.model.adapter:
             self.bases.add(plan.model.base)
@@ -604,9 +613,9 @@
         copy = self.copies.get(plan.model)
         if copy is None:
             copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
-        self._note_held(plan.model, copy, plan.version or 0, now)
+        self._record_held(plan.model, copy, plan.version or 0, now)
 
-    def _await(self, plan: Plan, now: float) -> None:
+    def _record_accepted(self, plan: Plan, now: float) -> None:
         if not plan.model.adapter:
             self._is_base_ordered = True
             self._base_poll_at = now + BASE_POLL
@@ -616,20 +625,20 @@
             copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
             copy.target = plan.version or 0
         if copy.state is not CopyState.ARRIVING:
-            self._plan_poll(copy, now)
+            self._schedule_poll(copy, now)
             return
         copy.since = now
-        copy.is_return = plan.model in self._seen
-        copy.poll_at = now + self._times.estimate(copy.is_return)
+        copy.is_return = plan.model in self._held_before
+        copy.poll_at = now + self._load_times.estimate(copy.is_return)
 
-    def _doubt(self, plan: Plan, now: float) -> None:
-        """Count a load in doubt as taking up a slot until the report."""
+    def _record_unconfirmed(self, plan: Plan, now: float) -> None:
+        """Count an unconfirmed load as occupying a slot until the report."""
         if not plan.model.adapter:
             self._base_poll_at = now + BASE_POLL
         elif plan.action is Action.LOAD and plan.model not in self.copies:
             copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
             copy.target = plan.version or 0
 
-    def _give_up(self, plan: Plan) -> None:
-        if self._wanted.pop(plan.model, None) is not None:
+    def _record_refused(self, plan: Plan) -> None:
+        if self._queue.pop(plan.model, None) is not None:
             self.denied.append(Denied(plan.model, DenialReason.NOT_TAKEN))
--- a/roadlift/serving/loads.py
+++ b/roadlift/serving/loads.py
@@ -1,10 +1,12 @@
-"""Pace the loads of an owner's engines, and learn how long they take."""
+"""Limit the loads of an owner's engines, and estimate their duration."""
 
-FIRST_POLL = 0.02  # Seconds after a load order until it is first asked after.
+FIRST_POLL = 0.02  # Seconds after a load order until its first poll.
 SMOOTHING = 0.3  # Weight of the latest load in the estimate of load times.
-SOONER = 0.9  # Part of the estimate that is left after an asking came late.
-MOST_FIRST_POLL = 0.3  # Seconds until a load is first asked after at most.
-# Adapters on their way to one engine at once; more only wait inside it.
+# Factor by which the first poll moves earlier after a load that was already
+# done at its first poll.
+SOONER = 0.9
+MOST_FIRST_POLL = 0.3  # Seconds until the first poll of a load at most.
+# Concurrent loads at one engine; further ones would only wait inside it.
 MOST_ARRIVING = 4
 FIRST_DURATION = 0.25  # Seconds of a load before any was observed.
 
@@ -12,62 +14,62 @@
 def measure_queue(ahead: int, duration: float) -> float:
     """Return the seconds until a further load begins at an engine.
 
-    ``ahead`` are the loads on their way there or waiting, each of which takes
-    ``duration`` seconds.
+    ``ahead`` is the number of loads there in progress or queued, each of which
+    takes ``duration`` seconds.
     """
     return max(0, ahead - MOST_ARRIVING + 1) * duration / MOST_ARRIVING
 
 
 class BaseLoads:
-    """The share of one owner in the weight store's rate for base models.
+    """One owner's share of the weight store's rate limit for base models.
 
-    The platform bounds how many loads from the weight store begin within some
-    seconds over all engines; owners have no common count, so each zone's has
-    an equal part. ``rate`` is in loads a second, 0 where none is told.
+    The platform limits how many loads from the weight store begin per second
+    over all engines. Owners share no counter, so each zone's owner gets an
+    equal share. ``rate`` is in loads per second, 0 for no limit.
     """
 
     def __init__(self, rate: float) -> None:
-        self._gap = 1.0 / rate if rate > 0 else 0.0
+        self._interval = 1.0 / rate if rate > 0 else 0.0
         self.next_at = 0.0
 
     def take(self, now: float) -> bool:
-        """Begin a load, if one is due."""
+        """Return whether a load may begin now, and count it if so."""
         if now < self.next_at:
             return False
-        self.next_at = now + self._gap
+        self.next_at = now + self._interval
         return True
 
 
 class LoadTimes:
-    """How long the loads of an owner's engines take, in seconds.
+    """Estimates of how long loads take at an owner's engines, in seconds.
 
-    An adapter that the engine held a while ago comes back from its own
-    memory much sooner than one comes from the weight store.
+    An adapter that the engine held recently is reloaded from its own memory
+    much faster than one from the weight store.
     """
 
     def __init__(self) -> None:
-        self._estimates: dict[bool, float] = {}
+        self._first_polls: dict[bool, float] = {}
         self._duration = FIRST_DURATION
 
     @property
     def duration(self) -> float:
-        """Return how long a load took of late, whichever way it came."""
+        """Return the smoothed duration of recent loads from any source."""
         return self._duration
 
     def estimate(self, is_return: bool) -> float:
-        """Return when to ask first after a load."""
-        return self._estimates.get(is_return, FIRST_POLL)
+        """Return the seconds from a load order to its first poll."""
+        return self._first_polls.get(is_return, FIRST_POLL)
 
     def note(self, is_return: bool, seconds: float, polls: int) -> None:
-        """Learn that a load was found done after so many askings.
+        """Record the duration of a load, found done after ``polls`` polls.
 
-        Where the first one found it done, it may have been done long before,
-        so that the next is asked after sooner.
+        If the first poll found it done, it may have ended long before, so the
+        next load is polled earlier.
         """
         self._duration += SMOOTHING * (seconds - self._duration)
         if polls <= 1:
-            self._estimates[is_return] = self.estimate(is_return) * SOONER
+            self._first_polls[is_return] = self.estimate(is_return) * SOONER
             return
-        known = self._estimates.get(is_return, seconds)
-        known += SMOOTHING * (seconds - known)
-        self._estimates[is_return] = min(MOST_FIRST_POLL, known)
+        first_poll = self._first_polls.get(is_return, seconds)
+        first_poll += SMOOTHING * (seconds - first_poll)
+        self._first_polls[is_return] = min(MOST_FIRST_POLL, first_poll)
--- a/roadlift/serving/orders.py
+++ b/roadlift/serving/orders.py
@@ -8,16 +8,16 @@
 
 
 class Action(enum.StrEnum):
-    """What an order asks for."""
+    """The action that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderResult(enum.Enum):
-    """How an order ended.
+    """The outcome of an order.
 
-    UNKNOWN: nobody knows whether it was accepted, or will be later.
+    UNKNOWN: it may have been accepted, or may be accepted later.
     NOT_SENT: no byte of it left this process.
     """
 
@@ -36,7 +36,7 @@
 
     ``sequence`` is how many orders the engine must have accepted before;
     ``version`` is that of an adapter, or None for the newest; ``may_send``
-    is asked right before the first byte leaves.
+    is called right before the first byte is written.
     """
 
     action: Action
@@ -49,18 +49,17 @@
 
 
 class HeldAdapter(NamedTuple):
-    """An adapter at an engine; version 0 means that none was told."""
+    """An adapter at an engine; version 0 means that none was reported."""
 
     model: Model
     version: int
 
 
 class EngineReport(NamedTuple):
-    """What an engine says of itself, some hundred milliseconds late.
+    """An engine's report on itself, some hundred milliseconds late.
 
-    ``arriving`` are adapters on their way to it, which take up slots.
-    ``started_at`` tells its runs apart, in milliseconds, or 0 if it is not
-    told.
+    ``arriving`` are adapters that are being loaded, which occupy slots.
+    ``started_at`` distinguishes its runs, in milliseconds, or 0 if unknown.
     """
 
     sequence: int
