--- a/roadlift/serving/eras.py
+++ b/roadlift/serving/eras.py
@@ -1,9 +1,9 @@
-"""Know in which era of the store this process is.
+"""Track the era of the store.
 
-The store loses nothing that it has acknowledged, but where it comes back from
-an older copy of itself; then its era rises, and what was derived from versions
-of the era before says nothing any more. Answers overtake each other: one of an
-era that is over is void, whatever it says.
+The store loses no acknowledged write, except when it is restored from an older
+copy of itself. Then its era rises, and what was derived from versions of the
+earlier era is no longer valid. Answers may arrive out of order: one of an
+earlier era is ignored, whatever its content.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,10 @@
 
 
 class StoreReturn(NamedTuple):
-    """That the store came back older: its eras, and what told of it."""
+    """A restore of the store from an older copy.
+
+    ``before`` and ``era`` are its eras, ``source`` the call that showed it.
+    """
 
     before: int
     era: int
@@ -21,10 +24,10 @@
 
 
 class StoreEras:
-    """The newest era that an answer of the store told.
+    """The newest era seen in an answer of the store.
 
-    ``on_return`` is called once for each return that is learned of, before
-    the answer that told it is passed on.
+    The listeners in ``on_return`` are called once for each restore that is
+    detected, before the answer that showed it is delivered.
     """
 
     def __init__(self) -> None:
@@ -33,17 +36,17 @@
         self.on_return: list[Callable[[StoreReturn], None]] = []
 
     def note(self, era: int, source: str) -> bool:
-        """Learn the era of an answer; False means that it is over."""
+        """Record the era of an answer; return whether it is the newest."""
         if not self._is_known:
             self._is_known = True
             self.newest = era
         if era > self.newest:
-            told = StoreReturn(self.newest, era, source)
+            found = StoreReturn(self.newest, era, source)
             self.newest = era
             for listener in list(self.on_return):
-                listener(told)
+                listener(found)
         return era == self.newest
 
     def is_current(self, position: StorePosition) -> bool:
-        """Tell whether a position is of the era that the store is in."""
+        """Return whether a position is of the newest era."""
         return position.era == self.newest
