--- a/roadlift/serving/calls.py
+++ b/roadlift/serving/calls.py
@@ -1,4 +1,4 @@
-"""Describe a caller's call once an ingress has read it."""
+"""Define a caller's call as an ingress has parsed it."""
 
 import enum
 from collections.abc import Mapping
@@ -6,9 +6,9 @@
 
 
 class Kind(enum.StrEnum):
-    """What a call's answer is, and whether the call may run twice.
+    """The kind of a call's answer, and whether the call may run twice.
 
-    A STREAM is idempotent only where its route says it is resumable.
+    A STREAM is idempotent only if its route is resumable.
     """
 
     IDEMPOTENT = "idempotent"
@@ -17,7 +17,7 @@
 
 
 class Model(NamedTuple):
-    """A base model, with an adapter over it or (empty) without one."""
+    """A base model with an adapter; ``adapter`` is empty for none."""
 
     base: str
     adapter: str = ""
@@ -27,20 +27,20 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt that calls share, by its id, and its tokens."""
+    """A part of a prompt that calls may share: its id and token count."""
 
     id: str
     tokens: int
 
 
 class Call(NamedTuple):
-    """What a caller asks for.
+    """A caller's request.
 
-    ``id`` is unlike that of every other call, also of the same caller's own
-    retries; ``headers`` are those to pass on; ``time_limit`` is how long the
-    caller waits, in seconds from the call's arrival, or None;
-    ``resume_after`` is the last event that the caller has of a cut stream;
-    ``key`` is the digest of the caller's key, or empty.
+    ``id`` is unique to each call, also among the same caller's retries;
+    ``headers`` are those to forward; ``time_limit`` is how long the caller
+    waits, in seconds from the call's arrival, or None; ``resume_after`` is
+    the last event that the caller received of an interrupted stream; ``key``
+    is the digest of the caller's key, or empty.
     """
 
     id: str
--- a/roadlift/serving/identity.py
+++ b/roadlift/serving/identity.py
@@ -1,10 +1,10 @@
-"""Tell whether two calls, or two loads, are the same work.
+"""Compute an identity for the work of a call or a load.
 
-A caller that comes again sends a new call with an id of its own. Its method,
-host, target, model and body are what an endpoint works on, so calls that agree
-in them are the same work, whichever caller, connection or instance they come
-by. Ids, time limits and the other headers are no part of it. Loads of one
-version of an adapter are the same work, whichever engine has them.
+A caller that retries sends a new call with a new id. Its method, host, target,
+model and body determine what an endpoint computes, so calls with equal values
+are the same work, whichever caller, connection or instance they come through.
+Ids, time limits and the other headers are not included. Loads of the same
+version of an adapter are the same work at any engine.
 """
 
 import hashlib
@@ -12,9 +12,9 @@
 
 from roadlift.serving.calls import Call, Model
 
-# Bytes of an identity. At 2**96 values nobody finds another call with a given
-# identity, and a day of 96,000 calls a second meets none twice by chance.
-# A MiB of a body takes some 1 ms, 2.5 of it with blake2b (seen beside load).
+# Bytes of an identity. With 2**96 values nobody can construct another call
+# with a given identity, and a day of 96,000 calls a second has no accidental
+# collision. A body of 1 MiB takes about 1 ms (2.5 ms with blake2b) under load.
 IDENTITY_SIZE = 12
 
 
@@ -31,9 +31,10 @@
 
 
 def compute_identity(texts: Iterable[str], body: bytes = b"") -> bytes:
-    """Return a digest of parts, each with its length: no two lists agree.
+    """Return a digest of the texts and the body.
 
-    The first text names the kind of work.
+    Each is hashed with its length, so that different lists don't collide. The
+    first text names the kind of work.
     """
     digest = hashlib.sha256()
     for data in (*(text.encode("utf-8", "surrogateescape") for text in texts), body):
--- a/roadlift/serving/interfaces.py
+++ b/roadlift/serving/interfaces.py
@@ -1,6 +1,7 @@
-"""Define what a platform's adapter provides; each is a registered plug-in.
+"""Define the interfaces of a platform adapter, a registered plug-in.
 
-An adapter knows names, formats and calls of one platform and decides nothing.
+An adapter implements the names, formats and calls of one platform. It makes no
+decisions.
 """
 
 import enum
@@ -21,7 +22,7 @@
 
 
 class StoredRow(NamedTuple):
-    """A row of a table; ``value`` is None where the row was deleted."""
+    """A row of a table; ``value`` is None if the row was deleted."""
 
     key: str
     value: bytes | None
@@ -29,9 +30,10 @@
 
 
 class StoreTime(NamedTuple):
-    """A reading of the store's steady clock, in seconds.
+    """A reading of the store's monotonic clock, in seconds.
 
-    ``asked_at`` and ``answered_at`` are this process's times around it.
+    ``asked_at`` and ``answered_at`` are this process's times of the request
+    and of the answer.
     """
 
     store: float
@@ -39,19 +41,19 @@
     answered_at: float
 
     def estimate_latest(self, now: float) -> float:
-        """Return a time of the store that is not before the one at ``now``."""
+        """Return an upper bound of the store's time at ``now``."""
         return self.store + now - self.asked_at
 
     def estimate_earliest(self, now: float) -> float:
-        """Return a time of the store that is not after the one at ``now``."""
+        """Return a lower bound of the store's time at ``now``."""
         return self.store + now - self.answered_at
 
 
 class Rows(NamedTuple):
     """Rows as of a position of the store.
 
-    ``time`` is of the answer that brought the first of them. Where the rows
-    are not ``is_complete``, more have changed up to now.
+    ``time`` is of the answer with the first of them. If ``is_complete`` is
+    false, further rows have changed by now.
     """
 
     rows: Sequence[StoredRow]
@@ -61,9 +63,10 @@
 
 
 class RowWrite(NamedTuple):
-    """A row to write if it stands at ``expected``; version 0 means absent.
+    """A conditional write of a row whose current position is ``expected``.
 
-    Without a ``value`` it is deleted.
+    Version 0 means that the row is absent. Without a ``value`` the row is
+    deleted.
     """
 
     table: str
@@ -78,19 +81,19 @@
 
 
 class StoreCall(NamedTuple):
-    """A kind of call to the table service: read, follow or write."""
+    """A kind of call to a table: read, follow or write."""
 
     action: str
     table: str
 
 
 class RowStore(Protocol):
-    """The platform's table service; ``calls`` counts what was asked of it.
+    """The platform's table service; ``calls`` counts the requests to it.
 
-    ``eras`` learns of each answer's, whatever its status; answers of one that
-    is over are failures. A failure is VersionConflict (nothing was written),
-    HistoryGone (read the whole table again) or PlatformUnavailable (nobody
-    knows).
+    ``eras`` records the era of each answer, whatever its status; answers of
+    an earlier era are failures. A failure is VersionConflict (nothing was
+    written), HistoryGone (read the whole table again) or PlatformUnavailable
+    (the outcome is unknown).
     """
 
     calls: Mapping[StoreCall, int]
@@ -107,17 +110,18 @@
         on_rows: OnRows,
         on_error: OnError,
     ) -> None:
-        """Read the rows that changed after a position; wait for the first.
+        """Read the rows that changed after a position.
 
-        The position is of the era that the store is in.
+        Waits up to ``wait`` seconds for the first change. The position is of
+        the store's current era.
         """
 
     def write(self, row: RowWrite, on_written: OnWritten, on_error: OnError) -> None:
-        """Write one row under its condition; pass its position on."""
+        """Write one row if its condition holds; report its new position."""
 
 
 class Verdict(enum.Enum):
-    """What an endpoint's answer says of the run."""
+    """What an endpoint's answer says about the run of the call."""
 
     SUCCEEDED = "succeeded"
     NOT_RUN = "not_run"
@@ -126,13 +130,14 @@
 
 
 class Guard(NamedTuple):
-    """What an endpoint has to agree with before it runs a call.
+    """What an endpoint checks or observes when it runs a call.
 
     ``remaining`` is the time left in seconds; ``priority`` 0 is served first;
     ``version`` that of the adapter, or None; ``resume_after`` the last event
-    received of a cut stream, or empty. ``organisation`` is the name of the
-    one whose call it is, empty for nobody's, or None where there are none:
-    the caller's credentials are passed on only there.
+    received of an interrupted stream, or empty. ``organisation`` is the name
+    of the caller's organisation, empty if it has none, or None if no
+    organisations are configured: only then are the caller's credentials
+    forwarded.
     """
 
     remaining: float
@@ -143,13 +148,13 @@
 
 
 class CallFormat(Protocol):
-    """How calls are read from callers and sent to endpoints."""
+    """How calls are parsed from callers' requests and sent to endpoints."""
 
     def read_id(self, received: Received) -> str:
         """Return the id of a caller's request, or empty."""
 
     def read_call(self, received: Received) -> Call:
-        """Read a caller's request, or raise InvalidRequest."""
+        """Parse a caller's request, or raise InvalidRequest."""
 
     def build_request(
         self, call: Call, route: Route, endpoint: Endpoint, guard: Guard
@@ -157,42 +162,42 @@
         """Return the request that runs a call on an endpoint."""
 
     def judge(self, status: int, headers: Mapping[str, str]) -> Verdict:
-        """Tell what the head of an endpoint's answer says of the run."""
+        """Classify the head of an endpoint's answer."""
 
     def read_statement(self, status: int, headers: Mapping[str, str]) -> Statement:
-        """Return what an answer's head says of the endpoint that gave it."""
+        """Return what an answer's head says about its endpoint."""
 
     def describe(self, call_id: str) -> Mapping[str, str]:
-        """Return the headers of an answer of our own."""
+        """Return the headers of an answer that roadlift itself generates."""
 
 
 class OrderFormat(Protocol):
-    """How engines are given orders and report on themselves."""
+    """How orders are sent to engines, and engines' reports are read."""
 
     def build_order(self, order: Order, endpoint: Endpoint) -> Request:
         """Return the request of an order."""
 
     def judge_order(self, answer: Answer) -> OrderResult:
-        """Tell how an order ended."""
+        """Classify the answer to an order."""
 
     def build_report(self, endpoint: Endpoint) -> Request:
         """Return the request for an engine's report."""
 
     def read_report(self, answer: Answer) -> EngineReport:
-        """Read an engine's report, or raise EndpointFailed."""
+        """Parse an engine's report, or raise EndpointFailed."""
 
 
 class StateFormat(Protocol):
-    """In which tables and how the platform describes its state."""
+    """The tables and formats in which the platform describes its state."""
 
     operator_table: str
     directory_table: str
 
     def conceal(self, row: StoredRow) -> StoredRow:
-        """Return a row with digests in place of keys, as it is passed on."""
+        """Return a row with API keys replaced by digests, for forwarding."""
 
     def read_configuration(self, row: StoredRow) -> Configuration | None:
-        """Return the configuration, or None where the row is another."""
+        """Return the configuration, or None for another row."""
 
     def read_version(self, row: StoredRow) -> tuple[Model, int] | None:
         """Return a declared adapter version, or None for another row."""
@@ -202,7 +207,7 @@
 
 
 class Adapter(NamedTuple):
-    """The plug-ins of one platform; ``open_store`` takes a kernel."""
+    """The plug-ins of one platform; ``open_store`` expects a kernel."""
 
     open_store: Callable[[object], RowStore]
     calls: CallFormat
--- a/roadlift/serving/messages.py
+++ b/roadlift/serving/messages.py
@@ -1,7 +1,7 @@
 """Define the messages between instances, aggregators and owners of zones.
 
-An instance that owns a zone's engines is an aggregator as well: it hears the
-owners of all zones, and passes what they tell on to the instances that
+An instance that owns a zone's engines is an aggregator as well: it receives
+the updates of the owners of all zones and forwards them to the instances that
 subscribe to it.
 """
 
@@ -12,12 +12,12 @@
 
 @message("su")
 class Subscribe(NamedTuple):
-    """Tell an owner that an aggregator lives, and what its calls used since.
+    """Report an aggregator's liveness and its usage to an owner.
 
-    ``members`` counts the instances that it speaks for, itself among them;
-    ``count``, ``is_whole``, ``uses`` and ``reading`` are as in Telling;
-    ``fence`` and ``serial`` are of the last news from the owner, behind
-    which some were lost where ``is_lacking``.
+    ``members`` counts the instances that it represents, including itself;
+    ``count``, ``is_whole``, ``uses`` and ``reading`` are as in ``Telling``;
+    ``fence`` and ``serial`` are of the last update from the owner. With
+    ``is_lacking`` a later update was lost.
     """
 
     address: str
@@ -34,13 +34,13 @@
 
 @message("sp")
 class Pulse(NamedTuple):
-    """Tell an aggregator that the owner lives, and how far its news go.
+    """Report an owner's liveness and its latest update to an aggregator.
 
-    ``instances`` counts those that the aggregators speak for; ``is_ready``
-    tells that the owner may give orders; ``is_complete`` that it knows all
-    calls of the aggregator that run, which else tells them; ``loads`` are as
-    in EngineLoads; ``list_age`` is the seconds since the owner has read the
-    list of endpoints.
+    ``instances`` counts those that the aggregators represent; with
+    ``is_ready`` the owner may give orders; unless ``is_complete`` it lacks
+    some of the aggregator's running calls, which then sends a full report;
+    ``loads`` are as in EngineLoads; ``list_age`` is the seconds since the
+    owner has read the list of endpoints.
     """
 
     zone: str
@@ -55,11 +55,11 @@
 
 @message("se")
 class EngineLoads(NamedTuple):
-    """Tell an aggregator how loaded engines are, where that changed.
+    """Send an aggregator the load of engines whose load changed.
 
-    ``loads`` are [engine, calls that run there, prompt tokens that are not
-    read yet, free places for adapters, loads on their way or waiting, seconds
-    that one takes], of all instances.
+    ``loads`` are [engine, running calls, unread prompt tokens, free adapter
+    slots, loads in progress or queued, seconds that a load takes], of all
+    instances.
     """
 
     zone: str
@@ -68,10 +68,10 @@
 
 @message("sl")
 class Listing(NamedTuple):
-    """Tell all that the engines of a zone hold, as of the news ``serial``.
+    """Send all adapters of a zone's engines, as of the update ``serial``.
 
-    ``engines`` are [engine, [[base model, adapter, version], ...]]; of one
-    that the owner has not read yet, what was told before still stands.
+    ``engines`` are [engine, [[base model, adapter, version], ...]]. For an
+    engine that the owner has not read yet, earlier updates remain valid.
     """
 
     zone: str
@@ -82,12 +82,12 @@
 
 @message("sn")
 class News(NamedTuple):
-    """Tell what changed at engines since the news ``since``, up to ``serial``.
+    """Send the changes at engines after the update ``since`` to ``serial``.
 
-    ``changes`` are as pack_changes makes them, [engine, base model, [adapter,
-    version, adapter, ...]]; a version of -1 tells that the engine does not
-    hold the adapter any more, and with an empty base model, that it holds
-    nothing of what was told before.
+    ``changes`` are in the format of ``pack_changes``: [engine, base model,
+    [adapter, version, adapter, ...]]. A version of -1 means that the engine no
+    longer holds the adapter; with an empty base model, that all earlier
+    updates about the engine are void.
     """
 
     zone: str
@@ -99,7 +99,7 @@
 
 @message("so")
 class Loaded(NamedTuple):
-    """Tell an instance that asked for an adapter at once that it is there."""
+    """Notify an instance at once that an adapter it requested is loaded."""
 
     endpoint: str
     base: str
@@ -109,11 +109,12 @@
 
 @message("sa")
 class Ask(NamedTuple):
-    """Ask an owner to load an adapter at an engine.
+    """Request an owner to load an adapter at an engine: a load request.
 
     ``least`` is the oldest version that will do; ``urgency`` the fields of an
-    Urgency; ``is_missing`` tells that the engine has just refused a call for
-    want of the adapter; ``is_forwarded`` that an aggregator passed it on.
+    ``Urgency``; ``is_missing`` is set if the engine has just refused a call
+    because it lacks the adapter, ``is_forwarded`` if an aggregator forwarded
+    the request.
     """
 
     address: str
@@ -129,7 +130,7 @@
 
 @message("sd")
 class Denial(NamedTuple):
-    """Tell that an owner will not load an adapter at an engine soon."""
+    """Report that an owner will not load an adapter at an engine soon."""
 
     zone: str
     endpoint: str
@@ -139,17 +140,17 @@
 
 @message("sh")
 class Heartbeat(NamedTuple):
-    """Tell an aggregator that an instance lives, and what it used since.
-
-    ``home`` is the instance's own zone, ``is_candidate`` whether it can take
-    leases; with ``is_probe`` it does not subscribe, and is dropped if it did.
-    ``stream``, ``serial`` and ``list_serial`` are of the last news from the
-    aggregator, behind which some were lost where ``is_lacking``;
-    ``operator_place`` is the packed position of the operator's newest row that
-    it knows, -1 while it reads them all. ``at`` is the instance's own time,
-    which the reply repeats, or 0 where it asks for none. ``count`` and
-    ``is_whole`` are as in Telling; ``zones`` are [zone, uses, reading].
-    ``link_mbps`` is the rate of the instance's link.
+    """Report an instance's liveness and its usage to an aggregator.
+
+    ``home`` is the instance's local zone, ``is_candidate`` whether it can
+    acquire leases; with ``is_probe`` it does not subscribe, and is
+    unsubscribed if it did. ``stream``, ``serial`` and ``list_serial`` are of
+    the last update from the aggregator; with ``is_lacking`` a later update was
+    lost. ``operator_place`` is the packed position of the newest operator row
+    that it knows, -1 while it reads them all. ``at`` is the instance's own
+    time, which the reply repeats, or 0 for no reply. ``count`` and
+    ``is_whole`` are as in ``Telling``; ``zones`` are [zone, uses, reading].
+    ``link_mbps`` is the bandwidth of the instance's link.
     """
 
     address: str
@@ -170,23 +171,24 @@
 
 @message("sx")
 class HandOver(NamedTuple):
-    """Tell an instance that a zone's lease is given back for it to take."""
+    """Notify an instance that a zone's lease is released for it to acquire."""
 
     zone: str
 
 
 @message("sr")
 class HeartbeatReply(NamedTuple):
-    """Tell an instance that its aggregator lives, and how far its news go.
-
-    ``stream`` names the news of one run of the aggregator at ``address``; one
-    that is not ``is_serving`` has no lease. ``instances`` are all that are
-    known, ``members`` those that subscribe here. ``is_complete`` tells that
-    all calls of the instance that run are known, which else tells them.
-    ``owners`` are the fields of OwnerSigns. The list of endpoints, as of
-    ``list_serial`` of the stream and the store's packed position
-    ``list_place``, was read ``list_age`` seconds ago; ``operator_place`` is of
-    the operator's newest row as of ``operator_age`` seconds ago.
+    """Report an aggregator's liveness and its latest update to an instance.
+
+    ``stream`` identifies the updates of one run of the aggregator at
+    ``address``; unless ``is_serving`` it holds no lease. ``instances`` counts
+    all known instances, ``members`` those that subscribe here. Unless
+    ``is_complete`` some of the instance's running calls are unknown here, and
+    it sends a full report. ``owners`` are the fields of ``OwnerSign``. The
+    list of endpoints, as of ``list_serial`` of the stream and the store's
+    packed position ``list_place``, was read ``list_age`` seconds ago;
+    ``operator_place`` is of the newest operator row as of ``operator_age``
+    seconds ago. ``asked_at`` repeats the heartbeat's ``at``.
     """
 
     address: str
@@ -206,7 +208,7 @@
 
 
 class OwnerSign(NamedTuple):
-    """The last sign of a zone's owner, ``age`` seconds ago.
+    """The last liveness signal of a zone's owner, ``age`` seconds ago.
 
     ``fence`` is of its term; ``list_age`` the seconds since it has read the
     list of endpoints.
@@ -222,7 +224,7 @@
 
 @message("sg")
 class Digest(NamedTuple):
-    """Pass on what changed at the engines of all zones since the last time.
+    """Forward the changes at the engines of all zones since the last digest.
 
     ``since``, ``serial`` and ``changes`` are as in News, ``loads`` as in
     EngineLoads.
@@ -237,7 +239,7 @@
 
 @message("ss")
 class Snapshot(NamedTuple):
-    """Pass on all that is known of engines, as in Listing and EngineLoads."""
+    """Forward the full state of engines, as in Listing and EngineLoads."""
 
     stream: int
     serial: int
@@ -247,12 +249,12 @@
 
 @message("sw")
 class ListNews(NamedTuple):
-    """Tell how the list of endpoints changed, to an aggregator's subscribers.
+    """Send changes of the list of endpoints to an aggregator's subscribers.
 
     The list is as of the store's packed position ``place``; ``changed`` are
-    endpoints as ``encode_endpoint`` makes them; ``gone`` are ids, and ``kept``
-    those of entries that vanished behind an outage and may come back; with
-    ``is_whole`` the list holds nothing else.
+    endpoints in the format of ``encode_endpoint``; ``gone`` are ids, and
+    ``kept`` the ids of entries that vanished after an outage and may
+    reappear; with ``is_whole`` the list has no other entries.
     """
 
     stream: int
@@ -266,10 +268,10 @@
 
 @message("sv")
 class OperatorNews(NamedTuple):
-    """Pass rows of the operator's table on.
+    """Forward rows of the operator's table.
 
-    ``rows`` are [key, packed position, packed value] as OperatorRows packs
-    them, all that are newer than the packed position ``since``.
+    ``rows`` are [key, packed position, compressed value], as in ``PackedRow``:
+    all that are newer than the packed position ``since``.
     """
 
     stream: int
@@ -279,10 +281,11 @@
 
 @message("sc")
 class CrashNews(NamedTuple):
-    """Tell under which calls endpoints ended, as the fields of Signs.
+    """Share crash evidence: under which calls endpoints crashed.
 
-    The sender listens at ``address``; with ``wants_all`` it tells all that it
-    knows, and wants to be told the same.
+    ``signs`` are the fields of each ``Sign``. The sender listens at
+    ``address``; with ``wants_all`` it sends all that it has, and requests the
+    same in return.
     """
 
     address: str
@@ -292,7 +295,7 @@
 
 @message("sk")
 class CrashSum(NamedTuple):
-    """Tell a checksum of what the process at ``address`` knows of crashes."""
+    """Send a checksum of the crash evidence of the process at ``address``."""
 
     address: str
     checksum: int
@@ -300,12 +303,12 @@
 
 @message("iu")
 class InstanceUse(NamedTuple):
-    """Tell an aggregator what an instance uses of what all share.
+    """Report an instance's use of shared allowances and services.
 
-    ``process`` tells the runs of an instance apart; ``organisations`` are the
-    fields of Uses of allowances, ``services`` those of ZoneLoads; ``at`` is
-    the instance's own time, which the answer repeats. With ``is_leaving`` it
-    tells another one from now on.
+    ``process`` distinguishes the runs of an instance; ``organisations`` are
+    the fields of each ``Use`` of an allowance, ``services`` those of each
+    ``ZoneLoad``; ``at`` is the instance's own time, which the answer repeats.
+    With ``is_leaving`` the instance reports to another aggregator from now on.
     """
 
     address: str
@@ -318,13 +321,14 @@
 
 @message("il")
 class SendAsk(NamedTuple):
-    """Ask the owner of a zone for a send to an endpoint that names a limit.
-
-    The process at ``address`` goes by ``limit`` calls a second, or None; with
-    ``is_named`` that is what an answer named to a send on ``basis``, else the
-    owner told it on that. ``patience`` is in seconds, below 0 where no send is
-    asked for; ``spent`` counts sends without a grant. ``via`` is the
-    aggregator that passes the ask on, and the answer back.
+    """Request a permit to send to a rate-limited endpoint from a zone's owner.
+
+    The process at ``address`` applies ``limit``, in calls a second, or None.
+    With ``is_named`` the endpoint announced it in the answer to a send on
+    ``basis``, else the owner sent it with that basis. ``patience`` is the
+    longest wait in seconds, negative if no permit is requested; ``spent``
+    counts sends without a permit. ``via`` is the aggregator that forwards the
+    request and the answer.
     """
 
     address: str
@@ -342,11 +346,12 @@
 
 @message("ig")
 class SendGrant(NamedTuple):
-    """Answer an ask: from when a send may begin, or that none is free.
+    """Answer a permit request: when a send may begin, or that none is free.
 
-    ``number`` and ``patience`` are the ask's, ``limit`` and ``basis`` the
-    owner's; the endpoint named it last ``age`` seconds ago. ``delay`` is in
-    seconds, until the send or until one is free.
+    ``number`` and ``patience`` are the request's, ``limit`` and ``basis`` the
+    owner's; the endpoint last announced the limit ``age`` seconds ago.
+    ``delay`` is in seconds, until the send if ``is_given``, else until a
+    permit is free.
     """
 
     address: str
@@ -362,7 +367,7 @@
 
 @message("it")
 class InstanceTotals(NamedTuple):
-    """Tell another aggregator what all instances that tell this one use.
+    """Report the use of all instances that report to an aggregator to another.
 
     ``members`` counts them; the lists are as in InstanceUse.
     """
@@ -376,10 +381,10 @@
 
 @message("is")
 class SharedStates(NamedTuple):
-    """Tell an instance how what all share stands.
+    """Send an instance the state of shared allowances and services.
 
-    ``organisations`` are the fields of FleetStates; ``services`` are as in
-    InstanceUse, of all instances.
+    ``organisations`` are the fields of each ``FleetState``; ``services`` are
+    as in InstanceUse, of all instances.
     """
 
     address: str
@@ -390,11 +395,12 @@
 
 @message("in")
 class LimitNews(NamedTuple):
-    """Tell which endpoints name limits, as the fields of ToldLimits.
+    """Send the rate limits that endpoints have announced.
 
-    With ``is_own`` they are of the zones of the aggregator at ``address``,
-    told to another; else of all zones, told to an instance that asked at its
-    time ``asked_at``.
+    ``limits`` are the fields of each ``ToldLimit``. With ``is_own`` they are
+    of the zones of the aggregator at ``address``, sent to another aggregator;
+    else of all zones, sent to an instance that requested them at its time
+    ``asked_at``.
     """
 
     address: str
@@ -405,10 +411,10 @@
 
 @message("iv")
 class LeavingNews(NamedTuple):
-    """Tell an aggregator that an endpoint said that it leaves.
+    """Send an aggregator the drain notice of an endpoint.
 
-    ``endpoint`` is the id of that start of it; one that ``is_passed_on`` is
-    told by an aggregator to the others.
+    ``endpoint`` is the id of that run of it; with ``is_passed_on`` an
+    aggregator forwards it to the others.
     """
 
     address: str
--- a/roadlift/serving/routes.py
+++ b/roadlift/serving/routes.py
@@ -1,4 +1,4 @@
-"""Keep the configuration in force, and find a call's route in it."""
+"""Define the platform's configuration, and find a call's route in it."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -7,11 +7,11 @@
 from roadlift.http.messages import HttpLimits
 from roadlift.serving.calls import Kind
 
-_HASH_SPAN = 1 << 64
+_HASH_RANGE = 1 << 64
 
 
 class Target(NamedTuple):
-    """A service that takes a share of a route's calls, by its weight."""
+    """A service that gets a share of a route's calls, by its weight."""
 
     service: str
     weight: float
@@ -20,12 +20,12 @@
 class Route(NamedTuple):
     """How the calls of a host below a path prefix are served.
 
-    ``timeout``, ``objective`` (the time to the first byte, of streams, or to
-    the whole answer) and ``pause_objective`` (between events) are in
-    seconds; ``priority`` 0 is the most urgent; ``attempts`` is on how many
-    endpoints a call may run; ``patience`` is after how many seconds without a
-    first event callers leave a stream, where that is known; calls of a route
-    that ``is_open`` need no key.
+    ``timeout``, ``objective`` (the time to the first byte of a stream, or to
+    the end of another answer) and ``pause_objective`` (the time between
+    events) are in seconds; ``priority`` 0 is the most urgent; ``attempts`` is
+    the number of endpoints that a call may run on; ``patience`` is the
+    seconds without an event after which callers are expected to abandon a
+    stream, or None; calls of a route that ``is_open`` need no key.
     """
 
     name: str
@@ -44,14 +44,14 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a call may run more than once."""
+        """Return whether a call may run more than once."""
         return self.kind is Kind.IDEMPOTENT or (
             self.kind is Kind.STREAM and self.is_resumable
         )
 
     @property
     def is_long(self) -> bool:
-        """Tell whether an answer may take many seconds."""
+        """Return whether an answer may take many seconds."""
         return self.kind is Kind.STREAM
 
     def choose_service(self, call_id: str) -> str:
@@ -60,7 +60,7 @@
             return self.targets[0].service
         digest = hashlib.blake2b(call_id.encode(), digest_size=8).digest()
         total = sum(target.weight for target in self.targets)
-        point = int.from_bytes(digest, "big") / _HASH_SPAN * total
+        point = int.from_bytes(digest, "big") / _HASH_RANGE * total
         for target in self.targets:
             point -= target.weight
             if point < 0:
@@ -69,7 +69,7 @@
 
 
 class BaseModel(NamedTuple):
-    """A base model that a service's engines run; sizes in MB, times in s."""
+    """A base model of a service's engines; sizes in MB, times in seconds."""
 
     name: str
     size: float
@@ -78,11 +78,12 @@
 
 
 class EngineShape(NamedTuple):
-    """What each engine of a service has room for.
+    """The capacity of each engine of a service.
 
-    ``slots`` is the batch, ``kv_tokens`` the tokens in memory, ``weights``
-    the MB for base models and adapters, ``adapter_slots`` the adapters at
-    once; ``loads_per_second`` is the weight store's rate for base models.
+    ``slots`` is the batch size, ``kv_tokens`` the tokens in the KV cache,
+    ``weights`` the MB for base models and adapters, ``adapter_slots`` the
+    number of adapters; ``loads_per_second`` is the weight store's rate limit
+    for base models.
     """
 
     slots: int
@@ -94,9 +95,9 @@
 
 
 class Service(NamedTuple):
-    """A service; ``engine`` is None where it runs no models.
+    """A service; ``engine`` is None if it runs no models.
 
-    ``most_connections`` is what one endpoint accepts from all callers.
+    ``most_connections`` is how many one endpoint accepts from all callers.
     """
 
     name: str
@@ -106,10 +107,10 @@
 
 
 class Allowance(NamedTuple):
-    """What an organisation may have run, over all instances.
+    """An organisation's rate limit, over all instances.
 
-    ``rate`` is a second, ``burst`` beside it, in tokens where ``is_tokens``,
-    else in calls; a call that names no tokens counts as ``plain_tokens``.
+    ``rate`` is per second, ``burst`` in addition, in tokens if ``is_tokens``,
+    else in calls; a call without a token count costs ``plain_tokens``.
     """
 
     rate: float
@@ -118,16 +119,16 @@
     plain_tokens: int = 0
 
     def measure(self, tokens: int) -> float:
-        """Return what a call of so many tokens, or of none, uses."""
+        """Return the cost of a call with a token count, or with 0 for none."""
         if not self.is_tokens:
             return 1.0
         return float(tokens or self.plain_tokens)
 
 
 class Organisation(NamedTuple):
-    """Who calls; ``keys`` are the digests of its keys, see digest_key.
+    """A customer; ``keys`` are the digests of its keys, see ``digest_key``.
 
-    ``priority`` goes before that of routes, where there is one.
+    ``priority`` overrides that of routes unless it is None.
     """
 
     name: str
@@ -139,7 +140,7 @@
 class Configuration(NamedTuple):
     """A whole configuration; a higher version replaces a lower one.
 
-    ``organisations`` is None where callers need no keys.
+    ``organisations`` is None if callers need no keys.
     """
 
     version: int
@@ -158,8 +159,8 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of a host and path, or None.
 
-        A look-up for each slash of the path costs less than one for each
-        route: prefixes begin and end with a slash.
+        Looks up one prefix for each slash of the path, which is cheaper than
+        a scan of all routes: prefixes begin and end with a slash.
         """
         end = path.rfind("/")
         while end >= 0:
--- a/roadlift/serving/statements.py
+++ b/roadlift/serving/statements.py
@@ -1,4 +1,4 @@
-"""Define what the head of an answer says of the endpoint that gave it."""
+"""Define what the head of an answer says about its endpoint."""
 
 from typing import NamedTuple
 
@@ -6,14 +6,15 @@
 
 
 class Statement(NamedTuple):
-    """What an endpoint says of itself in the head of an answer.
+    """What an endpoint says about itself in the head of an answer.
 
-    ``limit`` is how many calls a second it takes from all instances, or None;
-    one that ``is_leaving`` ends soon; ``rest`` is for how many seconds it
-    wants nothing from the instance that was turned away, or 0. ``faults`` are
-    of what it says and can't be read; ``unknown`` are the names of headers
-    that no table of the platform's adapter lists. A call that
-    ``is_turned_away`` was refused for want of room, with a rest or without.
+    ``limit`` is how many calls a second it accepts from all instances, or
+    None; with ``is_leaving`` it announces that it is draining; ``rest`` is
+    the back-off in seconds that it requests from the rejected instance, or 0.
+    ``faults`` are the errors of values that can't be read; ``unknown`` are the
+    names of headers that no table of the platform's adapter lists. A call that
+    ``is_turned_away`` was rejected for lack of capacity, with a back-off or
+    without.
     """
 
     limit: float | None = None
@@ -24,5 +25,5 @@
     is_turned_away: bool = False
 
     def has_fault(self, kind: type[RoadliftError]) -> bool:
-        """Tell whether something of one kind could not be read."""
+        """Return whether a value failed to parse with a kind of error."""
         return any(isinstance(fault, kind) for fault in self.faults)
