--- a/roadlift/serving/crashsigns.py
+++ b/roadlift/serving/crashsigns.py
@@ -1,4 +1,4 @@
-"""Read and write signs of crashes, in messages and in rows of the store."""
+"""Read and write crash evidence, in messages and in rows of the store."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,7 +9,7 @@
 from roadlift.serving.identity import IDENTITY_SIZE
 
 MOST_NAME = 512  # Characters of an endpoint's id.
-# Seconds of age beyond which a sign tells nothing; a bound for what is read.
+# Seconds after which evidence has no weight; an upper bound for input.
 MOST_AGE = 100_000.0
 _WEIGHTS = (0, WEAK, STRONG)
 _UNREADABLE = (
@@ -21,9 +21,9 @@
 
 
 def read_signs(fields: Iterable[list]) -> list[Sign]:
-    """Return the signs that a message has, or raise MalformedMessage."""
+    """Return the evidence in a message, or raise MalformedMessage."""
     try:
-        return [_check(Sign(*one)) for one in fields]
+        return [_check(Sign(*entry)) for entry in fields]
     except (TypeError, ValueError) as error:
         raise MalformedMessage(repr(error)) from error
 
@@ -31,14 +31,17 @@
 def encode_row(ended_at: float, weights: Mapping[str, int]) -> bytes:
     """Return the value of a row; its key is the identity in hex digits.
 
-    ``ended_at`` is the store's time of the last end, in seconds; ``weights``
-    are those of the signs, by endpoint.
+    ``ended_at`` is the store's time of the last crash, in seconds;
+    ``weights`` are those of the evidence, by endpoint.
     """
     return msgpack.packb([ended_at, dict(weights)])
 
 
 def read_key(key: str) -> bytes:
-    """Return the identity that a row's key stands for, or raise."""
+    """Return the identity that a row's key encodes.
+
+    Raises MalformedMessage if the key is not in hex digits.
+    """
     try:
         return bytes.fromhex(key)
     except ValueError as error:
@@ -46,23 +49,28 @@
 
 
 def read_row(identity: bytes, value: bytes, store_now: float) -> list[Sign]:
-    """Return the signs that a row has, or raise MalformedMessage."""
+    """Return the evidence in a row, or raise MalformedMessage."""
     try:
         ended_at, weights = msgpack.unpackb(value)
         age = max(0.0, store_now - ended_at)
-        signs = [Sign(identity, name, weight, age) for name, weight in weights.items()]
-        return [_check(sign) for sign in signs]
+        evidence = [
+            Sign(identity, name, weight, age) for name, weight in weights.items()
+        ]
+        return [_check(entry) for entry in evidence]
     except _UNREADABLE as error:
         raise MalformedMessage(repr(error)) from error
 
 
-def _check(sign: Sign) -> Sign:
-    if not isinstance(sign.identity, bytes) or len(sign.identity) != IDENTITY_SIZE:
-        raise ValueError("identity")
-    if not isinstance(sign.endpoint, str) or len(sign.endpoint) > MOST_NAME:
-        raise ValueError("endpoint")
-    if sign.weight not in _WEIGHTS or isinstance(sign.weight, bool):
-        raise ValueError("weight")
-    if not 0.0 <= sign.age <= MOST_AGE:
-        raise ValueError("age")
-    return sign
+def _check(evidence: Sign) -> Sign:
+    if (
+        not isinstance(evidence.identity, bytes)
+        or len(evidence.identity) != IDENTITY_SIZE
+    ):
+        raise ValueError("invalid identity")
+    if not isinstance(evidence.endpoint, str) or len(evidence.endpoint) > MOST_NAME:
+        raise ValueError("invalid endpoint id")
+    if evidence.weight not in _WEIGHTS or isinstance(evidence.weight, bool):
+        raise ValueError("invalid weight")
+    if not 0.0 <= evidence.age <= MOST_AGE:
+        raise ValueError("age out of range")
+    return evidence
--- a/roadlift/serving/directory.py
+++ b/roadlift/serving/directory.py
@@ -1,4 +1,4 @@
-"""Keep what is known of the endpoints, also while the platform's list lags."""
+"""Track the known endpoints, also while the platform's list is outdated."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -7,11 +7,12 @@
 from roadlift.relay.upstream import Address
 from roadlift.serving.messages import ListNews
 
-# Seconds after the list's return in which an entry that is missing may come
-# back: the platform restores lapsed entries within about two seconds.
+# Seconds after the list is readable again in which a missing entry may
+# reappear: the platform restores lapsed entries within about two seconds.
 RETURN_GRACE = 2.5
-# Endpoints that left, drained or were dropped which are remembered, of each;
-# an entry that lapsed, or is an older copy's, may say that one is ready.
+# Endpoints remembered of each kind: with a drain notice, draining, dropped. An
+# entry that lapsed, or comes from an older copy of the store, may show such an
+# endpoint as ready.
 MOST_LEFT = 4096
 
 
@@ -25,12 +26,13 @@
 class Endpoint(NamedTuple):
     """One run of an endpoint, as it describes itself.
 
-    ``id`` is new with each start; ``slots`` is how many calls it works on
-    at once; ``remaining`` is the seconds until it is taken away, or None.
-    ``key`` is its name in the list, empty where that is the id; one that was
-    started again may keep it, and ``started_at`` tells its runs apart, in
-    milliseconds, or 0 where it is not told. One that ``is_leaving`` said so
-    itself in an answer, and is draining whatever its entry says.
+    ``id`` is new with each start; ``slots`` is how many calls it processes
+    concurrently; ``remaining`` is the seconds until it is reclaimed, or None.
+    ``key`` is its name in the list, empty if that is the id. A restarted
+    endpoint may keep its key; ``started_at`` then distinguishes its runs, in
+    milliseconds, or 0 if unknown. ``is_draining`` is what the list says. One
+    that ``is_leaving`` announced in an answer that it is draining, and counts
+    as draining whatever its entry says.
     """
 
     id: str
@@ -47,11 +49,11 @@
 
     @property
     def name(self) -> str:
-        """Return the name that the list and the endpoint itself know."""
+        """Return the name that the list and the endpoint itself use."""
         return self.key or self.id
 
     def holds(self, base: str) -> bool:
-        """Tell whether the engine holds a base model."""
+        """Return whether the endpoint's engine has a base model loaded."""
         return any(model.name == base for model in self.models)
 
 
@@ -63,7 +65,7 @@
 
 
 def decode_endpoint(fields: list) -> Endpoint:
-    """Read what encode_endpoint made."""
+    """Return the endpoint that ``encode_endpoint`` encoded."""
     endpoint = read_fields(Endpoint, fields)
     models = tuple(HeldModel(*model) for model in endpoint.models)
     return endpoint._replace(address=Address(*endpoint.address), models=models)
@@ -72,16 +74,17 @@
 class Directory:
     """The endpoints by id and by service.
 
-    Entries that vanish are gone at once, except around an outage of the
-    list: until its return and a grace behind it they are kept.
+    Entries that vanish are dropped at once, except around an outage of the
+    list: then they are kept until a grace period after the list is readable
+    again.
     """
 
     def __init__(self) -> None:
         self._endpoints: dict[str, Endpoint] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
         self._ids: dict[str, str] = {}
-        self._missing: set[str] = set()
-        self._left: dict[str, None] = {}
+        self._vanished: set[str] = set()
+        self._drain_notices: dict[str, None] = {}
         self._drained: dict[str, None] = {}
         self._dropped: dict[str, None] = {}
         self._grace_until = 0.0
@@ -97,23 +100,27 @@
         return self._by_service.get(service, {}).values()
 
     def list_ready(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that take new calls."""
-        return [one for one in self.list_service(service) if not one.is_draining]
+        """Return the endpoints of a service that accept new calls."""
+        return [
+            endpoint
+            for endpoint in self.list_service(service)
+            if not endpoint.is_draining
+        ]
 
     def list_all(self) -> Iterable[Endpoint]:
         """Return every endpoint."""
         return self._endpoints.values()
 
     def list_kept(self) -> set[str]:
-        """Return the entries that have vanished and are kept for a grace."""
-        return set(self._missing)
+        """Return the ids of vanished entries kept for the grace period."""
+        return set(self._vanished)
 
     def note_return(self, now: float) -> None:
-        """Learn that the list can be read again after an outage."""
+        """Start the grace period: the list is readable after an outage."""
         self._grace_until = now + RETURN_GRACE
 
     def replace(self, endpoints: Mapping[str, Endpoint], now: float) -> None:
-        """Take a whole list; what it lacks has vanished."""
+        """Apply a complete list; entries that are not in it have vanished."""
         self.is_known = True
         for endpoint in endpoints.values():
             self.put(endpoint)
@@ -121,10 +128,10 @@
             self.remove(vanished, now)
 
     def relay(self, news: ListNews, now: float) -> None:
-        """Take what another instance knows.
+        """Apply an update from another instance.
 
-        What it keeps for a grace is kept here if it is known here, and is not
-        put back: this process may have seen that it is gone.
+        Entries that it keeps for a grace period are kept here if they are
+        known here. They are not added: this process may have seen them go.
         """
         self.is_known = True
         changed = [decode_endpoint(fields) for fields in news.changed]
@@ -141,54 +148,54 @@
             self._drop(endpoint_id)
 
     def note_leaving(self, endpoint_id: str) -> bool:
-        """Learn that a start of an endpoint leaves, for good.
+        """Record that one run of an endpoint announced that it is draining.
 
-        Returns whether that is new.
+        This is final for that run. Returns whether it was unknown.
         """
-        if endpoint_id in self._left:
+        if endpoint_id in self._drain_notices:
             return False
-        _remember(self._left, endpoint_id)
+        _remember(self._drain_notices, endpoint_id)
         if endpoint_id in self._endpoints:
-            is_missing = endpoint_id in self._missing
+            was_vanished = endpoint_id in self._vanished
             self.put(self._endpoints[endpoint_id])
-            self._missing |= {endpoint_id} if is_missing else set()
+            self._vanished |= {endpoint_id} if was_vanished else set()
         return True
 
     def correct(self, endpoint: Endpoint) -> Endpoint:
-        """Return an entry with what its endpoint said of itself.
+        """Return an entry corrected by what its endpoint announced.
 
-        A start that drains never takes calls again, whatever its entry says.
+        A run that drains never accepts calls again, whatever its entry says.
         """
-        if endpoint.id in self._left:
+        if endpoint.id in self._drain_notices:
             return endpoint._replace(is_draining=True, is_leaving=True)
         if endpoint.id in self._drained:
             return endpoint._replace(is_draining=True)
         return endpoint
 
     def was_dropped(self, endpoint_id: str) -> bool:
-        """Tell whether the entry of a start was there, and is gone."""
+        """Return whether the entry of a run was known and was dropped."""
         return endpoint_id in self._dropped
 
     def put(self, endpoint: Endpoint) -> None:
-        """Take an entry that is new or has changed.
+        """Add or update an entry.
 
-        Of one that has started again its earlier run is gone with all that is
-        known of it, and an entry of that run which comes late changes nothing.
+        If the endpoint has restarted, the entry of its earlier run is dropped
+        with all its state. A late entry of an earlier run changes nothing.
         """
-        earlier = self._endpoints.get(self._ids.get(endpoint.name, ""))
-        if earlier is not None and earlier.id != endpoint.id:
-            if earlier.started_at > endpoint.started_at:
+        known_run = self._endpoints.get(self._ids.get(endpoint.name, ""))
+        if known_run is not None and known_run.id != endpoint.id:
+            if known_run.started_at > endpoint.started_at:
                 return
-            self._drop(earlier.id)
+            self._drop(known_run.id)
         if endpoint.is_leaving:
-            _remember(self._left, endpoint.id)
+            _remember(self._drain_notices, endpoint.id)
         if endpoint.is_draining:
             _remember(self._drained, endpoint.id)
         endpoint = self.correct(endpoint)
         self._dropped.pop(endpoint.id, None)
         self._ids[endpoint.name] = endpoint.id
-        is_back = endpoint.id in self._missing
-        self._missing.discard(endpoint.id)
+        is_back = endpoint.id in self._vanished
+        self._vanished.discard(endpoint.id)
         known = self._endpoints.get(endpoint.id)
         if known == endpoint:
             self.revision += is_back
@@ -200,33 +207,33 @@
         self.revision += 1
 
     def remove_name(self, name: str, now: float) -> None:
-        """Drop the entry of a name, or keep it; see remove."""
+        """Drop or keep the entry of a name, as ``remove`` does."""
         if name in self._ids:
             self.remove(self._ids[name], now)
 
     def reject_name(self, name: str) -> None:
-        """Drop the entry of a name at once, as it names no endpoint to use."""
+        """Drop the entry of a name at once, as it is not usable."""
         if name in self._ids:
             self._drop(self._ids[name])
 
     def remove(self, endpoint_id: str, now: float) -> None:
-        """Drop an entry, or keep it for the grace behind an outage."""
+        """Drop an entry, or keep it for the grace period after an outage."""
         if endpoint_id not in self._endpoints:
             return
         if now < self._grace_until:
-            self.revision += endpoint_id not in self._missing
-            self._missing.add(endpoint_id)
+            self.revision += endpoint_id not in self._vanished
+            self._vanished.add(endpoint_id)
             return
         self._drop(endpoint_id)
 
     def expire(self, now: float) -> None:
-        """Drop the entries that did not come back within the grace."""
-        if self._missing and now >= self._grace_until:
-            for endpoint_id in list(self._missing):
+        """Drop the entries that did not reappear within the grace period."""
+        if self._vanished and now >= self._grace_until:
+            for endpoint_id in list(self._vanished):
                 self._drop(endpoint_id)
 
     def _drop(self, endpoint_id: str) -> None:
-        self._missing.discard(endpoint_id)
+        self._vanished.discard(endpoint_id)
         _remember(self._dropped, endpoint_id)
         endpoint = self._endpoints.pop(endpoint_id)
         del self._by_service[endpoint.service][endpoint_id]
@@ -235,7 +242,7 @@
 
 
 def _remember(known: dict[str, None], endpoint_id: str) -> None:
-    """Add an id to those that are remembered; the oldest makes room."""
+    """Add an id to a bounded set; the oldest is evicted."""
     known[endpoint_id] = None
     if len(known) > MOST_LEFT:
         del known[next(iter(known))]
--- a/roadlift/serving/health.py
+++ b/roadlift/serving/health.py
@@ -1,36 +1,39 @@
-"""Judge endpoints by what became of the calls that were sent to them."""
+"""Track the health of endpoints by the outcomes of their calls."""
 
 import math
 from collections.abc import Collection
 
-FAILURES = 3  # Failures in a row at which an endpoint is ejected.
-# Part of the calls whose failure ejects an endpoint as well, once as many as
-# LEAST_CALLS are remembered. Sound endpoints fail some calls of one kind too.
+FAILURES = 3  # Consecutive failures at which an endpoint is ejected.
+# Fraction of failed calls at which an endpoint is ejected as well, once
+# LEAST_CALLS calls are remembered. Healthy endpoints too fail some calls of a
+# kind.
 FAILED_PART = 0.3
 LEAST_CALLS = 6.0
 HALF_LIFE = 2.0  # Seconds in which a remembered call loses half its weight.
-FIRST_EJECTION = 1.0  # Seconds; each further one in a row is twice as long.
+FIRST_EJECTION = 1.0  # Seconds; doubled with each consecutive ejection.
 MOST_EJECTION = 8.0  # Seconds.
-MOST_SHARE = 0.5  # Part of a service's endpoints that may be ejected at once.
-# Seconds that an endpoint is passed over which could not be connected to, at
-# first and at most; each further time in a row is twice as long.
+# Fraction of a service's endpoints that may be ejected at the same time.
+MOST_SHARE = 0.5
+# Seconds that an endpoint is avoided after a connection to it failed, at first
+# and at most; doubled with each consecutive failure.
 FIRST_ABSENCE = 0.5
 MOST_ABSENCE = 4.0
-TRIAL = 0.5  # Seconds in which one call tries whether it can be reached again.
+# Seconds in which a single call tests whether an endpoint is reachable again.
+TRIAL = 0.5
 
 
 class Record:
-    """What is known of one endpoint."""
+    """The health of one endpoint."""
 
     __slots__ = (
-        "absences",
-        "absent_until",
+        "connect_failures",
+        "unreachable_until",
         "calls",
         "ejected_until",
         "ejections",
         "failed_calls",
         "failures",
-        "noted_at",
+        "updated_at",
         "running",
     )
 
@@ -39,78 +42,78 @@
         self.failures = 0
         self.calls = 0.0
         self.failed_calls = 0.0
-        self.noted_at = 0.0
+        self.updated_at = 0.0
         self.ejections = 0
         self.ejected_until = 0.0
-        self.absences = 0
-        self.absent_until = 0.0
+        self.connect_failures = 0
+        self.unreachable_until = 0.0
 
     def note_outcome(self, is_failure: bool, now: float) -> None:
-        """Count a call that ended, and let older ones fade."""
-        fade = math.exp2((self.noted_at - now) / HALF_LIFE)
-        self.noted_at = now
-        self.calls = self.calls * fade + 1.0
-        self.failed_calls = self.failed_calls * fade + is_failure
+        """Count a call that ended; the weight of older ones decays."""
+        decay = math.exp2((self.updated_at - now) / HALF_LIFE)
+        self.updated_at = now
+        self.calls = self.calls * decay + 1.0
+        self.failed_calls = self.failed_calls * decay + is_failure
         self.failures = self.failures + 1 if is_failure else 0
 
     def is_failing(self) -> bool:
-        """Tell whether too many calls failed."""
-        most = self.calls * FAILED_PART
-        is_part = self.calls >= LEAST_CALLS and self.failed_calls >= most
-        return is_part or self.failures >= FAILURES
+        """Return whether too many calls failed."""
+        limit = self.calls * FAILED_PART
+        is_over = self.calls >= LEAST_CALLS and self.failed_calls >= limit
+        return is_over or self.failures >= FAILURES
 
     def forget_outcomes(self) -> None:
-        """Judge anew by the calls from now on."""
+        """Reset the failure rate."""
         self.calls = self.failed_calls = 0.0
 
 
 class Health:
-    """The calls under way and the failures in a row, by endpoint."""
+    """The running calls and recent outcomes, by endpoint."""
 
     def __init__(self) -> None:
         self._records: dict[str, Record] = {}
 
     def count_running(self, endpoint: str) -> int:
-        """Return this process's calls under way at an endpoint."""
+        """Return the number of this process's running calls at an endpoint."""
         record = self._records.get(endpoint)
         return record.running if record else 0
 
     def begin(self, endpoint: str, now: float) -> None:
-        """Count a call as under way."""
+        """Count a call as running."""
         record = self._records.setdefault(endpoint, Record())
         record.running += 1
-        if record.absences:
-            # The others wait for how this one fares.
-            record.absent_until = now + TRIAL
+        if record.connect_failures:
+            # Other calls avoid the endpoint until the outcome of this one.
+            record.unreachable_until = now + TRIAL
 
     def end(self, endpoint: str) -> None:
-        """Count a call as over."""
+        """Count a call as ended."""
         record = self._records.get(endpoint)
         if record is not None and record.running:
             record.running -= 1
 
     def note_success(self, endpoint: str, now: float) -> None:
-        """Learn that an endpoint answered as it should."""
+        """Record that a call succeeded."""
         record = self._records.setdefault(endpoint, Record())
         record.note_outcome(False, now)
         if record.calls >= LEAST_CALLS and not record.is_failing():
             record.ejections = 0
 
     def note_answer(self, endpoint: str) -> None:
-        """Learn that an endpoint can be reached, whatever it answered."""
+        """Record that an endpoint answered, whatever the outcome."""
         record = self._records.setdefault(endpoint, Record())
-        record.absences = 0
-        record.absent_until = 0.0
+        record.connect_failures = 0
+        record.unreachable_until = 0.0
 
     def note_absence(self, endpoint: str, now: float) -> None:
-        """Learn that an endpoint could not be connected to."""
+        """Record that a connection to an endpoint failed."""
         record = self._records.setdefault(endpoint, Record())
-        seconds = min(MOST_ABSENCE, FIRST_ABSENCE * 2**record.absences)
-        record.absences += 1
-        record.absent_until = now + seconds
+        seconds = min(MOST_ABSENCE, FIRST_ABSENCE * 2**record.connect_failures)
+        record.connect_failures += 1
+        record.unreachable_until = now + seconds
 
     def note_failure(self, endpoint: str, now: float) -> bool:
-        """Learn of a failure; True means that the endpoint was ejected."""
+        """Record that a call failed; return whether that ejected it."""
         record = self._records.setdefault(endpoint, Record())
         record.note_outcome(True, now)
         if not record.is_failing() or now < record.ejected_until:
@@ -122,29 +125,35 @@
         return True
 
     def is_ejected(self, endpoint: str, now: float) -> bool:
-        """Tell whether an endpoint is passed over for a while."""
+        """Return whether an endpoint is ejected."""
         record = self._records.get(endpoint)
         return record is not None and now < record.ejected_until
 
     def list_usable(self, endpoints: Collection, now: float) -> list:
-        """Return the endpoints that can be reached and are not ejected.
+        """Return the endpoints that are reachable and not ejected.
 
-        Where more than a part of those that can be reached are ejected, the
-        trouble is not theirs alone, and all are used. Those that can't be
-        reached are used only where there is no other.
+        If more than MOST_SHARE of the reachable ones are ejected, the cause
+        is not in the endpoints alone, and all reachable ones are used.
+        Unreachable ones are used only if there is no other.
         """
-        reached = [one for one in endpoints if not self._is_absent(one.id, now)]
-        usable = [one for one in reached if not self.is_ejected(one.id, now)]
-        if len(usable) < len(reached) * (1.0 - MOST_SHARE):
-            usable = reached
+        reachable = [
+            endpoint
+            for endpoint in endpoints
+            if not self._is_unreachable(endpoint.id, now)
+        ]
+        usable = [
+            endpoint for endpoint in reachable if not self.is_ejected(endpoint.id, now)
+        ]
+        if len(usable) < len(reachable) * (1.0 - MOST_SHARE):
+            usable = reachable
         return usable or list(endpoints)
 
-    def _is_absent(self, endpoint: str, now: float) -> bool:
+    def _is_unreachable(self, endpoint: str, now: float) -> bool:
         record = self._records.get(endpoint)
-        return record is not None and now < record.absent_until
+        return record is not None and now < record.unreachable_until
 
     def forget(self, known: Collection[str]) -> None:
-        """Drop the records of endpoints that are gone and idle."""
+        """Drop the records of endpoints that are gone and run no calls."""
         for endpoint in set(self._records) - set(known):
             if not self._records[endpoint].running:
                 del self._records[endpoint]
--- a/roadlift/serving/members.py
+++ b/roadlift/serving/members.py
@@ -1,4 +1,4 @@
-"""Keep what the subscribers of an aggregator told of their calls."""
+"""Track the calls that the subscribers of an aggregator report."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Place(NamedTuple):
-    """Where calls run: an adapter at an engine of a zone."""
+    """An adapter at an engine of a zone, where calls run."""
 
     zone: str
     endpoint: str
@@ -15,7 +15,11 @@
 
 
 class UseChange(NamedTuple):
-    """Calls that began at a place, and how many more or fewer run there."""
+    """A change of an adapter's calls at an engine.
+
+    ``begun`` counts the calls that began; ``change`` is the difference in the
+    number of running calls.
+    """
 
     place: Place
     begun: int
@@ -23,7 +27,7 @@
 
 
 class MemberCalls:
-    """The running calls and unread prompts of each subscriber."""
+    """The running calls and unread prompt tokens of each subscriber."""
 
     def __init__(self) -> None:
         self._running: dict[str, dict[Place, int]] = {}
@@ -31,7 +35,7 @@
         self._tokens: Counter[str] = Counter()
 
     def note_uses(self, member: str, zone: str, uses: list) -> list[UseChange]:
-        """Take the uses of a telling; return what changed by them."""
+        """Apply the uses in a usage report; return the resulting changes."""
         running = self._running.setdefault(member, {})
         changes = []
         for endpoint, base, adapter, begun, count in uses:
@@ -45,7 +49,7 @@
         return changes
 
     def note_reading(self, member: str, zone: str, endpoint: str, tokens: int) -> None:
-        """Learn how many prompt tokens of a member are unread at an engine."""
+        """Record a member's number of unread prompt tokens at an engine."""
         reading = self._reading.setdefault(member, {})
         key = (zone, endpoint)
         self._tokens[endpoint] += tokens - reading.get(key, 0)
@@ -57,15 +61,15 @@
             del self._tokens[endpoint]
 
     def count_reading(self, endpoint: str) -> int:
-        """Return the unread prompt tokens at an engine, of all members."""
+        """Return the number of unread prompt tokens at an engine."""
         return self._tokens[endpoint]
 
     def list_readers(self, member: str) -> list[tuple[str, str]]:
-        """Return the [zone, engine] where a member's prompts are unread."""
+        """Return the (zone, engine) pairs with unread prompts of a member."""
         return list(self._reading.get(member, ()))
 
     def forget(self, member: str) -> list[UseChange]:
-        """Drop what a member told; return what changed by that."""
+        """Drop a member's reports; return the resulting changes."""
         for zone, endpoint in self.list_readers(member):
             self.note_reading(member, zone, endpoint, 0)
         self._reading.pop(member, None)
--- a/roadlift/serving/newslog.py
+++ b/roadlift/serving/newslog.py
@@ -1,10 +1,10 @@
-"""Keep an owner's recent news, and choose what a subscriber is sent of them.
+"""Keep an owner's recent updates, and choose what to resend to a subscriber.
 
 Load pattern: every instance of a deployment subscribes, and an owner's link
-may be a weak one. What is sent to a subscriber that is behind must not be what
-delays the news: an owner on 5 Mbit/s that sent all that its engines hold to
-each of 79 subscribers which were behind by any news, four times a second, had
-news on its link so late that all were behind from then on.
+may be slow. Resends to subscribers that are behind must not delay the updates
+themselves. An owner on a 5 Mbit/s link that sent its full state, four times a
+second, to each of 79 subscribers that were behind by any update delayed its
+updates so much that all subscribers stayed behind from then on.
 """
 
 import enum
@@ -12,20 +12,20 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-# News that are kept to catch up with: some 25 s of them at the usual pace.
+# Updates that are kept for resends: about 25 s of them at the usual rate.
 MOST_KEPT = 256
-# Seconds behind a sending to one subscriber in which no other is sent: it may
-# be on its way. Behind each that did not help it is doubled, up to the last: a
-# link that is full must not be given more of what it already holds.
+# Seconds between resends to one subscriber, as the last may be in transit. The
+# interval doubles, up to the maximum, after each resend that did not help: a
+# congested link must not get more copies of what it already carries.
 RESEND_PERIOD = 0.6
 MOST_RESEND_PERIOD = 10.0
 
 
 class Change(NamedTuple):
-    """What changed at an engine, as a message has it.
+    """A change at an engine, as in a message.
 
-    A version of -1 tells that the adapter is gone; with an empty base model,
-    that nothing holds any more of what was told of the engine.
+    A version of -1 means that the adapter is gone; with an empty base model,
+    that all earlier updates about the engine are void.
     """
 
     endpoint: str
@@ -35,11 +35,12 @@
 
 
 def pack_changes(changes: Iterable[Change]) -> list:
-    """Return changes as a short list for a message, in any order of engines.
+    """Return changes in a compact format for a message.
 
-    Of an adapter only the last change counts, unless all of its engine were
-    taken back between. The names of an engine and a base model stand once for
-    all their adapters, as the news of a busy owner fill its link.
+    Of an adapter's changes only the last is kept; a change that voids an
+    engine's updates removes the earlier ones of that engine. The names of an
+    engine and a base model are written once for all their adapters, as the
+    updates of a busy owner fill its link.
     """
     packed: dict[tuple[str, str], dict[str, int]] = {}
     for change in changes:
@@ -50,83 +51,83 @@
             change.version
         )
     return [
-        [endpoint, base, [part for item in adapters.items() for part in item]]
+        [endpoint, base, [value for item in adapters.items() for value in item]]
         for (endpoint, base), adapters in packed.items()
     ]
 
 
 def unpack_changes(packed: list) -> Iterator[Change]:
-    """Yield the changes that pack_changes made a list of."""
-    for endpoint, base, parts in packed:
-        for adapter, version in zip(parts[::2], parts[1::2], strict=True):
+    """Yield the changes of a list made by ``pack_changes``."""
+    for endpoint, base, versions in packed:
+        for adapter, version in zip(versions[::2], versions[1::2], strict=True):
             yield Change(endpoint, base, adapter, version)
 
 
 class CatchUp(enum.Enum):
-    """What a subscriber is sent: nothing, what it lacks, or all."""
+    """What to send to a subscriber: nothing, the missed changes, or all."""
 
     NOTHING = "nothing"
     CHANGES = "changes"
     ALL = "all"
 
 
-class _Entry(NamedTuple):
+class _Update(NamedTuple):
     serial: int
     changes: list[Change]
 
 
-class _Sent:
-    """What one subscriber was sent, and when it may be sent more."""
+class _ResendState:
+    """When the next resend to one subscriber may begin."""
 
-    __slots__ = ("next_at", "pause")
+    __slots__ = ("next_at", "interval")
 
     def __init__(self) -> None:
         self.next_at = float("-inf")
-        self.pause = RESEND_PERIOD
+        self.interval = RESEND_PERIOD
 
 
 class Resends:
-    """When subscribers may be sent again what may still be on its way."""
+    """Limits resends to subscribers, with an exponential back-off."""
 
     def __init__(self) -> None:
-        self._sent: dict[str, _Sent] = {}
+        self._states: dict[str, _ResendState] = {}
 
     def take(self, subscriber: str, now: float) -> bool:
-        """Tell whether to send now, and count it as sent."""
-        sent = self._sent.setdefault(subscriber, _Sent())
-        if now < sent.next_at:
+        """Return whether to resend now, and count it as sent if so."""
+        state = self._states.setdefault(subscriber, _ResendState())
+        if now < state.next_at:
             return False
-        sent.next_at = now + sent.pause
-        sent.pause = min(MOST_RESEND_PERIOD, 2 * sent.pause)
+        state.next_at = now + state.interval
+        state.interval = min(MOST_RESEND_PERIOD, 2 * state.interval)
         return True
 
     def forget(self, subscriber: str) -> None:
-        """Learn that a subscriber has caught up, or is gone."""
-        self._sent.pop(subscriber, None)
+        """Reset a subscriber that has caught up or is gone."""
+        self._states.pop(subscriber, None)
 
 
 class NewsLog:
-    """The news of one owner, by serial."""
+    """The recent updates of one owner, by serial."""
 
     def __init__(self) -> None:
-        self._entries: deque[_Entry] = deque(maxlen=MOST_KEPT)
+        self._entries: deque[_Update] = deque(maxlen=MOST_KEPT)
         self._resends = Resends()
         self.serial = 0
 
     def add(self, changes: list[Change]) -> int:
-        """Keep news that are sent now; return the serial before them."""
+        """Add an update that is sent now; return the serial before it."""
         self.serial += 1
-        self._entries.append(_Entry(self.serial, changes))
+        self._entries.append(_Update(self.serial, changes))
         return self.serial - 1
 
     def choose(
         self, subscriber: str, known: int | None, is_lacking: bool, now: float
     ) -> CatchUp:
-        """Return what a subscriber that knows a serial is sent now.
+        """Return what to send now to a subscriber that knows a serial.
 
-        ``known`` is None where it knows another owner's news; ``is_lacking``
-        tells that news were lost, as later ones have arrived. That it is
-        behind alone tells nothing: what it lacks may be on its way.
+        ``known`` is None if it knows another owner's updates; ``is_lacking``
+        means that updates were lost, as later ones have arrived. An old
+        serial alone is no reason to resend: the rest may be in transit.
         """
         is_kept = known is not None and self._is_kept(known)
         if is_kept and not is_lacking:
@@ -137,7 +138,7 @@
         return CatchUp.CHANGES if is_kept else CatchUp.ALL
 
     def list_since(self, known: int) -> list[Change]:
-        """Return the changes behind a serial, in order."""
+        """Return the changes after a serial, in order."""
         return [
             change
             for entry in self._entries
@@ -150,6 +151,6 @@
         self._resends.forget(subscriber)
 
     def _is_kept(self, known: int) -> bool:
-        """Tell whether all news behind a serial are kept."""
+        """Return whether all updates after a serial are kept."""
         oldest = self._entries[0].serial if self._entries else self.serial + 1
         return oldest - 1 <= known <= self.serial
--- a/roadlift/serving/pace.py
+++ b/roadlift/serving/pace.py
@@ -1,9 +1,8 @@
-"""Measure how slow each endpoint is, against the others of its service.
+"""Compare the speed of each endpoint with the others of its service.
 
-The sample of a call is how long its answer took for each part: for a stream
-the mean time between its events, which does not depend on how long the prompt
-was, for another answer the whole time. It grows where an endpoint's hardware
-is slow and where too much is under way there.
+The sample of a call is, for a stream, the mean time between its events, which
+does not depend on the length of the prompt; for another answer it is the whole
+duration. It grows with slow hardware and with too many concurrent calls.
 """
 
 import math
@@ -11,55 +10,55 @@
 from collections.abc import Collection, Iterable
 
 HALF_LIFE = 2.0  # Seconds in which the weight of a sample halves.
-# A sample counts as this many times the known pace at most, so that one long
+# A sample is capped at this multiple of the current mean, so that one long
 # answer does not make its endpoint look slow.
 MOST_STEP = 4.0
-LEAST_FACTOR = 0.5  # Bounds of what is made of it.
+LEAST_FACTOR = 0.5  # Bounds of the relative speed factor.
 MOST_FACTOR = 4.0
 
 
 class _Mean:
-    """An ageing mean of samples, in seconds."""
+    """An exponentially decaying mean of samples, in seconds."""
 
-    __slots__ = ("noted_at", "total", "weight")
+    __slots__ = ("updated_at", "total", "weight")
 
     def __init__(self, now: float) -> None:
-        self.noted_at = now
+        self.updated_at = now
         self.total = 0.0
         self.weight = 0.0
 
     def note(self, seconds: float, now: float) -> None:
-        """Take a sample."""
-        fade = math.exp2((self.noted_at - now) / HALF_LIFE)
+        """Add a sample."""
+        decay = math.exp2((self.updated_at - now) / HALF_LIFE)
         if self.weight:
             seconds = min(seconds, MOST_STEP * self.total / self.weight)
-        self.total = self.total * fade + seconds
-        self.weight = self.weight * fade + 1.0
-        self.noted_at = now
+        self.total = self.total * decay + seconds
+        self.weight = self.weight * decay + 1.0
+        self.updated_at = now
 
     def measure(self, now: float) -> tuple[float, float]:
-        """Return the mean, and what weight it has now."""
-        fade = math.exp2((self.noted_at - now) / HALF_LIFE)
-        return self.total / self.weight, self.weight * fade
+        """Return the mean and its weight at ``now``."""
+        decay = math.exp2((self.updated_at - now) / HALF_LIFE)
+        return self.total / self.weight, self.weight * decay
 
 
 class Paces:
-    """The paces of endpoints, as this process's calls show them."""
+    """The speeds of endpoints, as observed by this process's calls."""
 
     def __init__(self) -> None:
         self._means: dict[str, _Mean] = {}
 
     def note(self, endpoint: str, seconds: float, now: float) -> None:
-        """Take the sample of a call that an endpoint served."""
+        """Add the sample of a call that an endpoint served."""
         mean = self._means.get(endpoint)
         if mean is None:
             mean = self._means[endpoint] = _Mean(now)
         mean.note(seconds, now)
 
     def compare(self, endpoints: Iterable[str], now: float) -> dict[str, float]:
-        """Return how slow each endpoint is; 1 is usual for its service.
+        """Return a slowness factor by endpoint; 1 is the service's median.
 
-        An endpoint whose samples are old or few counts as nearly usual.
+        The factor of an endpoint with few or old samples is close to 1.
         """
         known = {
             name: self._means[name].measure(now)
@@ -68,11 +67,11 @@
         }
         if len(known) < 2:
             return {}
-        usual = statistics.median(mean for mean, _ in known.values())
-        if usual <= 0:
+        median = statistics.median(mean for mean, _ in known.values())
+        if median <= 0:
             return {}
         return {
-            name: _bound((weight * mean / usual + 1.0) / (weight + 1.0))
+            name: _bound((weight * mean / median + 1.0) / (weight + 1.0))
             for name, (mean, weight) in known.items()
         }
 
--- a/roadlift/serving/residency.py
+++ b/roadlift/serving/residency.py
@@ -1,8 +1,8 @@
-"""Keep what every instance knows of the adapters that engines hold.
+"""Track which adapters the engines hold, on every instance.
 
-The owners of the zones tell it; it may be late. A call that is sent to an
-engine without its adapter is refused there as not run, so that this costs
-time and no promise.
+The zones' owners report it, possibly late. An engine refuses a call whose
+adapter it does not hold as not run, so outdated entries cost time but break no
+guarantee.
 """
 
 from collections import OrderedDict
@@ -10,9 +10,9 @@
 
 from roadlift.serving.calls import Model
 
-# Adapters of one engine that are remembered after they left it: about what an
-# engine keeps in its own memory. Where it keeps fewer, a load that was taken
-# for a short one comes from the weight store.
+# Evicted adapters that are remembered for each engine: about as many as an
+# engine keeps in its own memory. If it keeps fewer, some loads that are
+# expected to be short come from the weight store.
 MOST_RECENT = 64
 
 
@@ -29,12 +29,12 @@
         return self._by_model.get(model, {})
 
     def holds(self, endpoint: str, model: Model, least: int) -> bool:
-        """Tell whether an engine holds an adapter at ``least`` or newer."""
+        """Return whether an engine holds an adapter at ``least`` or newer."""
         version = self._by_model.get(model, {}).get(endpoint)
         return version is not None and version >= least
 
     def is_at_hand(self, endpoint: str, model: Model, least: int) -> bool:
-        """Tell whether an engine held an adapter of late, at ``least``."""
+        """Return whether an engine recently held ``least`` or newer."""
         version = self._recent.get(endpoint, {}).get(model)
         return version is not None and version >= least
 
@@ -43,19 +43,19 @@
         return self._by_endpoint.get(endpoint, {})
 
     def put(self, endpoint: str, model: Model, version: int) -> None:
-        """Learn that an engine holds an adapter."""
+        """Record that an engine holds an adapter."""
         self._by_endpoint.setdefault(endpoint, {})[model] = version
         self._by_model.setdefault(model, {})[endpoint] = version
 
     def drop(self, endpoint: str, model: Model) -> None:
-        """Learn that an engine does not hold an adapter."""
+        """Record that an engine does not hold an adapter."""
         version = self._by_endpoint.get(endpoint, {}).pop(model, None)
         if version is None:
             return
         self._remember(endpoint, model, version)
-        holders = self._by_model[model]
-        del holders[endpoint]
-        if not holders:
+        versions = self._by_model[model]
+        del versions[endpoint]
+        if not versions:
             del self._by_model[model]
 
     def _remember(self, endpoint: str, model: Model, version: int) -> None:
@@ -66,7 +66,7 @@
             recent.popitem(last=False)
 
     def replace(self, endpoint: str, held: Mapping[Model, int]) -> None:
-        """Learn of all that an engine holds."""
+        """Replace the adapters of an engine."""
         for model in list(self.list_held(endpoint)):
             if model not in held:
                 self.drop(endpoint, model)
@@ -81,5 +81,5 @@
             self._recent.pop(endpoint, None)
 
     def list_endpoints(self) -> list[str]:
-        """Return the engines of which anything is known."""
+        """Return the known engines."""
         return list(self._by_endpoint)
--- a/roadlift/serving/selection.py
+++ b/roadlift/serving/selection.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint of a plain service, and rank the homes of adapters."""
+"""Choose endpoints of plain services, and rank engines for an adapter."""
 
 from collections.abc import Callable, Iterable, Sequence
 from random import Random
@@ -7,40 +7,41 @@
 from roadlift.serving.calls import Model
 from roadlift.serving.directory import Endpoint
 
-# Calls under way that an endpoint of the own zone may have more than one
-# elsewhere before the call crosses zones, and the same as a part of its slots,
-# of which the less counts. A call ahead costs an engine's next one some 20 ms,
-# whatever its slots: it is the reading of prompts that fills engines.
+# How many more running calls an endpoint of the local zone may have than a
+# remote one before a call crosses zones: the smaller of a number and of a
+# fraction of the remote endpoint's slots. Each call ahead delays an engine's
+# next call by about 20 ms, whatever its slots: reading prompts is what
+# saturates engines.
 ZONE_CALLS = 2.0
 ZONE_PART = 0.25
-# Returns the calls under way at an endpoint, weighed by how slow it is.
+# Returns the running calls at an endpoint, weighted by its slowness.
 Load = Callable[[str], float]
 
 
 def choose_least_loaded(
     endpoints: Iterable[Endpoint], zone: str, load: Load, rng: Random
 ) -> Endpoint | None:
-    """Return the endpoint with most room, the own zone's before others.
+    """Return the least loaded endpoint, with a preference for ``zone``.
 
-    Those that are alike are drawn, by their slots: an instance without calls
-    of its own would else choose as all such instances do.
+    Ties are broken at random, weighted by slots. Otherwise all instances
+    without running calls would choose the same endpoint.
     """
 
     def measure(endpoint: Endpoint) -> tuple[float, float, float]:
-        """Return how loaded an endpoint is; zone and a draw make an order."""
+        """Return the load; the zone and a random draw break ties."""
         slots = max(1, endpoint.slots)
-        bonus = min(ZONE_CALLS, ZONE_PART * slots)
-        away = 0.0 if endpoint.zone == zone else bonus
-        return load(endpoint.id) + away, away, rng.expovariate(slots)
+        penalty = min(ZONE_CALLS, ZONE_PART * slots)
+        remote = 0.0 if endpoint.zone == zone else penalty
+        return load(endpoint.id) + remote, remote, rng.expovariate(slots)
 
     return min(endpoints, key=measure, default=None)
 
 
 class Homes:
-    """The order in which the engines of a service are home to an adapter.
+    """Ranks the engines of a service for an adapter, by consistent hashing.
 
-    Every instance finds the same order from the list of endpoints alone, so
-    an adapter comes back to the engine that still has its weights at hand.
+    Every instance computes the same order from the list of endpoints alone,
+    so an adapter returns to the engine that still has its weights in memory.
     """
 
     def __init__(self) -> None:
@@ -49,7 +50,7 @@
     def rank(
         self, service: str, endpoints: Sequence[Endpoint], model: Model, count: int
     ) -> list[Endpoint]:
-        """Return up to ``count`` engines, the adapter's first home first."""
+        """Return up to ``count`` engines, the most preferred first."""
         by_id = {endpoint.id: endpoint for endpoint in endpoints}
         names = tuple(sorted(by_id))
         known = self._rings.get(service)
--- a/roadlift/serving/telling.py
+++ b/roadlift/serving/telling.py
@@ -1,7 +1,7 @@
-"""Gather what is told to the owners of zones of calls at their engines.
+"""Collect usage reports on the calls at engines for the owners of zones.
 
-Usually only what changed is told. Messages are counted, so that a receiver
-notices one that it lacks, and everything is told when it says so.
+A report usually has only what changed. Reports are numbered, so that a
+receiver detects one that it missed. It then requests a full report.
 """
 
 from collections.abc import Callable
@@ -11,12 +11,12 @@
 
 
 class Telling(NamedTuple):
-    """What is told to one owner.
+    """A report to one owner.
 
-    ``count`` is of the tellings to the owners of the zone. With ``is_whole``
-    nothing runs beside what is told. ``uses`` are [engine, base model,
-    adapter, calls begun since, calls that run], ``reading`` [engine, prompt
-    tokens of the calls that are not read yet].
+    ``count`` numbers the reports to the owners of the zone. With ``is_whole``
+    no calls run except those in the report. ``uses`` are [engine, base model,
+    adapter, calls begun since the last report, running calls], ``reading``
+    [engine, prompt tokens of calls that are not read yet].
     """
 
     count: int
@@ -26,97 +26,107 @@
 
 
 class WholeTelling(NamedTuple):
-    """What is told to an aggregator: [zone, uses, reading] of all zones."""
+    """A report to an aggregator: [zone, uses, reading] of all zones."""
 
     count: int
     is_whole: bool
     zones: list
 
 
-class _Zone:
-    """What is known of the calls at one zone's engines, and what to tell."""
+class _ZoneCalls:
+    """The calls at one zone's engines, and what is yet to be reported."""
 
-    __slots__ = ("begun", "count", "is_doubted", "readers", "running", "untold")
+    __slots__ = (
+        "begun",
+        "count",
+        "needs_full_report",
+        "readers",
+        "running",
+        "unreported",
+    )
 
     def __init__(self) -> None:
         self.count = 0
-        self.is_doubted = False
+        self.needs_full_report = False
         self.begun: dict[tuple[str, Model], int] = {}
         self.running: dict[tuple[str, Model], int] = {}
         self.readers: set[str] = set()
-        self.untold: set[str] = set()
+        self.unreported: set[str] = set()
 
 
 class Tellings:
-    """The calls at engines, by zone: an instance's, or those of several."""
+    """Collects the calls of one or several instances at engines, by zone."""
 
     def __init__(self) -> None:
-        self._zones: dict[str, _Zone] = {}
+        self._zones: dict[str, _ZoneCalls] = {}
         self._count = 0
-        self._is_doubted = False
+        self._needs_full_report = False
 
-    def _find(self, zone: str) -> _Zone:
-        return self._zones.setdefault(zone, _Zone())
+    def _find(self, zone: str) -> _ZoneCalls:
+        return self._zones.setdefault(zone, _ZoneCalls())
 
     def note_use(
         self, zone: str, endpoint: str, model: Model, begun: int, change: int
     ) -> None:
-        """Count calls that begin, and how many more or fewer run."""
-        known = self._find(zone)
+        """Count calls that begin, and a change in the number that run."""
+        zone_calls = self._find(zone)
         key = (endpoint, model)
-        known.begun[key] = known.begun.get(key, 0) + begun
-        running = known.running.get(key, 0) + change
+        zone_calls.begun[key] = zone_calls.begun.get(key, 0) + begun
+        running = zone_calls.running.get(key, 0) + change
         if running > 0:
-            known.running[key] = running
+            zone_calls.running[key] = running
         else:
-            known.running.pop(key, None)
+            zone_calls.running.pop(key, None)
 
     def note_reading(self, zone: str, endpoint: str) -> None:
-        """Learn that the unread prompt tokens at an engine changed."""
-        self._find(zone).untold.add(endpoint)
+        """Record that the unread prompt tokens at an engine changed."""
+        self._find(zone).unreported.add(endpoint)
 
     def doubt(self, zone: str) -> None:
-        """Learn that a zone's owner lacks something: tell it all next."""
-        self._find(zone).is_doubted = True
+        """Make the next report to a zone's owner a full one."""
+        self._find(zone).needs_full_report = True
 
     def doubt_all(self) -> None:
-        """Tell everything next, as it is told to another."""
-        self._is_doubted = True
-        for known in self._zones.values():
-            known.is_doubted = True
+        """Make all next reports full ones, as for a new receiver."""
+        self._needs_full_report = True
+        for zone_calls in self._zones.values():
+            zone_calls.needs_full_report = True
 
     def collect(self, zone: str, count_reading: Callable[[str], int]) -> Telling:
-        """Return what to tell next; ``count_reading`` gives unread tokens."""
-        known = self._find(zone)
-        known.count += 1
-        is_whole, known.is_doubted = known.is_doubted, False
-        begun, known.begun = known.begun, {}
-        known.readers |= known.untold
-        readers, known.untold = known.untold, set()
+        """Return the next report to a zone's owner.
+
+        ``count_reading`` returns the unread prompt tokens at an engine.
+        """
+        zone_calls = self._find(zone)
+        zone_calls.count += 1
+        is_whole, zone_calls.needs_full_report = zone_calls.needs_full_report, False
+        begun, zone_calls.begun = zone_calls.begun, {}
+        zone_calls.readers |= zone_calls.unreported
+        readers, zone_calls.unreported = zone_calls.unreported, set()
         keys = set(begun)
         if is_whole:
-            keys |= set(known.running)
-            readers = known.readers
+            keys |= set(zone_calls.running)
+            readers = zone_calls.readers
         uses = [
-            [key[0], *key[1], begun.get(key, 0), known.running.get(key, 0)]
+            [key[0], *key[1], begun.get(key, 0), zone_calls.running.get(key, 0)]
             for key in keys
         ]
         reading = [[name, count_reading(name)] for name in readers]
-        known.readers -= {name for name, tokens in reading if not tokens}
-        return Telling(known.count, is_whole, uses, reading)
+        zone_calls.readers -= {name for name, tokens in reading if not tokens}
+        return Telling(zone_calls.count, is_whole, uses, reading)
 
     def collect_all(self, count_reading: Callable[[str], int]) -> WholeTelling:
-        """Return what to tell an aggregator next, of all zones."""
+        """Return the next report to an aggregator, of all zones."""
         self._count += 1
-        is_whole, self._is_doubted = self._is_doubted, False
+        is_whole, self._needs_full_report = self._needs_full_report, False
         zones = []
-        for zone, known in self._zones.items():
-            known.is_doubted = is_whole
-            telling = self.collect(zone, count_reading)
-            if telling.uses or telling.reading:
-                zones.append([zone, telling.uses, telling.reading])
+        for zone, zone_calls in self._zones.items():
+            zone_calls.needs_full_report = is_whole
+            report = self.collect(zone, count_reading)
+            if report.uses or report.reading:
+                zones.append([zone, report.uses, report.reading])
         return WholeTelling(self._count, is_whole, zones)
 
     def doubt_aggregator(self) -> None:
-        """Learn that the aggregator lacks something: tell it all next."""
-        self._is_doubted = True
+        """Make the next report to the aggregator a full one."""
+        self._needs_full_report = True
--- a/roadlift/serving/usage.py
+++ b/roadlift/serving/usage.py
@@ -1,17 +1,17 @@
-"""Count what the instances tell of their calls at engines."""
+"""Count the calls that instances report at an engine."""
 
 from roadlift.serving.calls import Model
 
 
 class Usage:
-    """The calls that run on an engine's adapters, and the unread prompts."""
+    """The running calls on an engine's adapters, and unread prompt tokens."""
 
     def __init__(self) -> None:
         self._running: dict[Model, dict[str, int]] = {}
         self._reading: dict[str, int] = {}
 
     def note_running(self, instance: str, model: Model, running: int) -> None:
-        """Learn how many calls of an instance run on an adapter."""
+        """Record how many calls of an instance run on an adapter."""
         counts = self._running.setdefault(model, {})
         if running:
             counts[instance] = running
@@ -21,41 +21,41 @@
             del self._running[model]
 
     def is_running(self, model: Model) -> bool:
-        """Tell whether a call runs on an adapter."""
+        """Return whether a call runs on an adapter."""
         return model in self._running
 
     def count_used(self) -> int:
-        """Return on how many adapters calls run."""
+        """Return the number of adapters on which calls run."""
         return len(self._running)
 
     def count_running(self) -> int:
-        """Return the calls that run on adapters, of all instances."""
+        """Return the number of calls that run, of all instances."""
         return sum(sum(counts.values()) for counts in self._running.values())
 
     def note_reading(self, instance: str, tokens: int) -> None:
-        """Learn how many prompt tokens of an instance's calls are unread."""
+        """Record how many prompt tokens of an instance's calls are unread."""
         if tokens:
             self._reading[instance] = tokens
         else:
             self._reading.pop(instance, None)
 
     def count_reading(self) -> int:
-        """Return the prompt tokens to be read, of all instances' calls."""
+        """Return the unread prompt tokens of all instances' calls."""
         return sum(self._reading.values())
 
     def forget_instance(self, instance: str) -> None:
-        """Drop what an instance told that is gone."""
+        """Drop the reports of an instance that is gone."""
         self._reading.pop(instance, None)
         for model in list(self._running):
             self.note_running(instance, model, 0)
 
 
 class Completeness:
-    """Whose running calls are all known to an owner.
+    """Tracks the instances whose running calls are all known to an owner.
 
-    Instances count their messages. One that is missing may have told the end
-    of a call, whose copy would count as in use for ever and keep its place:
-    behind two seconds without messages all places of a small deployment.
+    Instances number their reports. A lost one may have reported the end of a
+    call, whose copy would then count as in use for ever and occupy its slot.
+    Two seconds without messages blocked all slots of a small deployment.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
         self._incomplete: set[str] = set()
 
     def note(self, instance: str, count: int, is_whole: bool) -> None:
-        """Learn of a message, and whether it told all that runs."""
+        """Record a report's number, and whether it was a full report."""
         if is_whole:
             self._incomplete.discard(instance)
         elif count != self._counts.get(instance, 0) + 1:
@@ -71,11 +71,11 @@
         self._counts[instance] = count
 
     def doubt_all(self) -> None:
-        """Learn that something that was told may have been passed over."""
+        """Mark all instances as incomplete: reports may have been ignored."""
         self._incomplete |= set(self._counts)
 
     def is_complete(self, instance: str) -> bool:
-        """Tell whether all of an instance's running calls are known."""
+        """Return whether all of an instance's running calls are known."""
         return instance not in self._incomplete
 
     def forget(self, instance: str) -> None:
