--- a/tests/steps/aggregation_steps.py
+++ b/tests/steps/aggregation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what an aggregator adds up and passes on."""
+"""Steps on what an aggregator adds up and forwards."""
 
 import zlib
 
@@ -20,11 +20,11 @@
 _MODEL = Model("base", "x")
 
 
-@when('subscribers tell "{tellings}"')
-def step_tell(context, tellings):
-    """Take the tellings in order, and add up what changed."""
+@when('subscribers report "{reports}"')
+def step_report(context, reports):
+    """Apply the reports in order, and add up the changes."""
     context.calls, context.running = MemberCalls(), 0
-    for words in tellings.split(", "):
+    for words in reports.split(", "):
         member, verb, *rest = words.split()
         changes = []
         if verb == "runs":
@@ -47,43 +47,43 @@
 @when('calls begin and end as "{calls}"')
 def step_calls(context, calls):
     """Count calls at an engine of each zone."""
-    context.tellings = tellings = Tellings()
+    context.reports = reports = Tellings()
     for words in calls.split(", "):
         if words.endswith("begins"):
-            tellings.note_use(words[:2], "e", _MODEL, 1, 1)
+            reports.note_use(words[:2], "e", _MODEL, 1, 1)
         elif words.endswith("ends"):
-            tellings.note_use(words[:2], "e", _MODEL, 0, -1)
-        elif words == "is told":
-            tellings.collect_all(lambda endpoint: 0)
-        elif words == "is told by zone":
-            tellings.collect("z2", lambda endpoint: 0)
-        elif words == "is doubted":
-            tellings.doubt_aggregator()
-
-
-@then("the aggregator is told {told}")
-def step_told(context, told):
-    """Check the next telling."""
-    telling = context.tellings.collect_all(lambda endpoint: 0)
+            reports.note_use(words[:2], "e", _MODEL, 0, -1)
+        elif words == "is reported":
+            reports.collect_all(lambda endpoint: 0)
+        elif words == "is reported by zone":
+            reports.collect("z2", lambda endpoint: 0)
+        elif words == "is requested in full":
+            reports.doubt_aggregator()
+
+
+@then("the next report to the aggregator is {report}")
+def step_next_report(context, report):
+    """Check the next report."""
+    collected = context.reports.collect_all(lambda endpoint: 0)
     found = [
         f"{zone} begun {begun} running {running}"
-        for zone, uses, _ in telling.zones
+        for zone, uses, _ in collected.zones
         for _, _, _, begun, running in uses
     ]
-    assert (", ".join(found) or "nothing") == told, found
+    assert (", ".join(found) or "nothing") == report, found
 
 
-def _place(version):
+def _position(version):
     return StorePosition(FIRST_ERA, int(version))
 
 
 def _make_row(name):
-    packed = list(pack_row(StoredRow("k", b"value" * 50, _place(7))))
+    packed = list(pack_row(StoredRow("k", b"value" * 50, _position(7))))
     if name == "deleted":
         return ["k", 7, None]
     if name == "not packed":
         return ["k", 7, b"value"]
-    if name == "cut":
+    if name == "truncated":
         return [*packed[:2], packed[2][:-6]]
     if name == "too large":
         return ["k", 7, zlib.compress(bytes(MOST_UNPACKED + 1), 1)]
@@ -94,13 +94,13 @@
 
 @then('the row "{name}" is {verdict}')
 def step_row(context, name, verdict):
-    """Read a row as it is passed on."""
+    """Unpack a row."""
     try:
         row = unpack_row(_make_row(name))
     except MalformedMessage:
         assert verdict == "refused"
         return
-    assert verdict == "read" and (row.key, row.position) == ("k", _place(7)), row
+    assert verdict == "read" and (row.key, row.position) == ("k", _position(7)), row
 
 
 @given('the operator\'s rows "{rows}"')
@@ -109,11 +109,11 @@
     context.rows = OperatorRows()
     for words in rows.split(", "):
         key, version = words.split()
-        context.rows.put(StoredRow(key, b"v", _place(version)))
+        context.rows.put(StoredRow(key, b"v", _position(version)))
 
 
 @then("those since {version:d} are {newer}")
 def step_newer(context, version, newer):
     """Check the keys of the newer rows."""
-    found = " ".join(row.key for row in context.rows.list_since(_place(version)))
+    found = " ".join(row.key for row in context.rows.list_since(_position(version)))
     assert (found or "nothing") == newer, found
--- a/tests/steps/engine_steps.py
+++ b/tests/steps/engine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the book of one engine."""
+"""Steps on the record of one engine."""
 
 from behave import given, then, when
 
@@ -34,92 +34,92 @@
     )
 
 
-@given("the book of an engine with 2 slots that holds its base model")
-def step_book(context):
-    """Make a book that has read its engine's report."""
+@given("the record of an engine with 2 slots that has its base model loaded")
+def step_record(context):
+    """Make a record that has read its engine's report."""
     context.times = LoadTimes()
     context.base_loads = BaseLoads(1.0)
-    context.book = EngineBook(2, (_BASE,), context.times, context.base_loads)
-    context.book.take_report(_report(), 0.0)
-    context.first_changes = list(context.book.changes)
-    # The owner has passed on that nothing holds of what another one told.
-    context.book.changes.clear()
+    context.record = EngineBook(2, (_BASE,), context.times, context.base_loads)
+    context.record.take_report(_report(), 0.0)
+    context.first_changes = list(context.record.changes)
+    # The owner has sent that the updates of earlier owners are void.
+    context.record.changes.clear()
 
 
-def _do(context, at, did):
-    book = context.book
+def _apply(context, at, did):
+    record = context.record
     words = did.split()
     results = {result.value: result for result in OrderResult}
     if did in results:
-        book.note_result(context.plan, results[did], at)
+        record.note_result(context.plan, results[did], at)
     elif did == "orders":
-        context.plan = book.plan(at)
+        context.plan = record.plan(at)
         assert context.plan is not None
-    elif did == "unanswered to the end":
+    elif did == "resends fail up to the limit":
         for _ in range(MOST_RESENDS + 1):
-            context.plan = book.plan(at)
-            book.note_result(context.plan, OrderResult.UNKNOWN, at)
-    elif did == "polled without use to the end":
-        for turn in range(MOST_FAILED_POLLS + 1):
-            context.plan = book.plan(at + turn * MOST_POLL)
+            context.plan = record.plan(at)
+            record.note_result(context.plan, OrderResult.UNKNOWN, at)
+    elif did == "polls fail up to the limit":
+        for number in range(MOST_FAILED_POLLS + 1):
+            context.plan = record.plan(at + number * MOST_POLL)
             assert context.plan.is_poll
-            found = (OrderResult.UNKNOWN, OrderResult.CONFLICT)[turn % 2]
-            book.note_result(context.plan, found, at + turn * MOST_POLL)
-    elif words[0] == "wants":
+            result = (OrderResult.UNKNOWN, OrderResult.CONFLICT)[number % 2]
+            record.note_result(context.plan, result, at + number * MOST_POLL)
+    elif words[0] == "requests":
         least = int(words[3]) if "at" in words else 0
         priority = 0 if "urgently" in words else 1
         slack = -1.0 if "late" in words else 0.0
-        book.want(_model(words[1]), least, Urgency(priority, slack), at)
+        record.want(_model(words[1]), least, Urgency(priority, slack), at)
     elif did == "fails":
-        book.note_failed_report(at)
+        record.note_failed_report(at)
     elif did.startswith("is refused"):
-        assert not book.want(_model(words[-1]), 0, Urgency(1), at)
+        assert not record.want(_model(words[-1]), 0, Urgency(1), at)
     elif words[0] == "used":
-        book.note_use(_model(words[1]), 1, at)
+        record.note_use(_model(words[1]), 1, at)
     elif words[0] == "runs":
-        book.usage.note_running("i", _model(words[1]), 1)
+        record.usage.note_running("i", _model(words[1]), 1)
     elif words[0] == "retires":
-        book.retire(_model(words[1]), int(words[3]))
+        record.retire(_model(words[1]), int(words[3]))
     elif words[0] == "misses":
-        book.note_missing(_model(words[1]))
+        record.note_missing(_model(words[1]))
     elif did == "holds a and b":
-        book.take_report(_report(held=("a", "b")), at)
+        record.take_report(_report(held=("a", "b")), at)
     elif did == "holds b with a arriving":
-        book.take_report(_report(held=("b",), arriving=("a",)), at)
+        record.take_report(_report(held=("b",), arriving=("a",)), at)
     elif did == "reports nothing":
-        book.take_report(_report(), at)
+        record.take_report(_report(), at)
     elif did == "reports a arriving":
-        book.take_report(_report(arriving=("a",)), at)
-    elif did == "is peeked at":
-        assert book.take_peek(at)
+        record.take_report(_report(arriving=("a",)), at)
+    elif did == "a report is due":
+        assert record.take_peek(at)
     elif did == "shows a and b":
-        book.note_arrivals(_report(held=("a", "b")), at)
+        record.note_arrivals(_report(held=("a", "b")), at)
     elif did == "another engine loads its base":
         assert context.base_loads.take(at)
     elif did == "reports no base":
-        book.take_report(_report(bases=()), at)
+        record.take_report(_report(bases=()), at)
     else:
         assert did == "nothing", did
 
 
-@when('it happens in the book that "{history}"')
+@when('the history of the engine is "{history}"')
 def step_history(context, history):
-    """Let a history happen."""
+    """Apply the steps of a history."""
     for step in history.split(", "):
         at, _, did = step.partition(" ")
-        _do(context, float(at), did)
+        _apply(context, float(at), did)
 
 
-@when("the next order at {at:g} is asked for")
-def step_ask(context, at):
-    """Ask for the next order."""
-    context.plan = context.book.plan(at)
+@when("the next order at {at:g} is planned")
+def step_plan(context, at):
+    """Plan the next order."""
+    context.plan = context.record.plan(at)
 
 
 @then("the next order at {at:g} is {order}")
 def step_next(context, at, order):
-    """Check what is ordered."""
-    plan = context.book.plan(at)
+    """Check the next order."""
+    plan = context.record.plan(at)
     if plan is None:
         found = "none"
     else:
@@ -133,78 +133,78 @@
 @then("these are denied: {names}")
 def step_these_denied(context, names):
     """Check the adapters that were denied so far."""
-    found = " ".join(denied.model.adapter for denied in context.book.denied)
+    found = " ".join(denied.model.adapter for denied in context.record.denied)
     assert (found or "nothing") == names, found
 
 
 @then("the sequence is {sequence:d}")
 def step_sequence(context, sequence):
     """Check the count of accepted orders."""
-    assert context.book.sequence == sequence, context.book.sequence
+    assert context.record.sequence == sequence, context.record.sequence
 
 
 @then('the changes are "{changes}"')
 def step_changes(context, changes):
-    """Check what subscribers are told."""
+    """Check the changes for the subscribers."""
     found = [
         ("-" if version < 0 else "+") + model.adapter
-        for model, version in context.book.changes
+        for model, version in context.record.changes
     ]
-    wanted = changes.split()
-    assert sorted(found) == sorted(wanted), found
+    expected = changes.split()
+    assert sorted(found) == sorted(expected), found
 
 
 @then('the changes are ""')
 def step_no_changes(context):
-    """Check that nothing is told."""
-    assert context.book.changes == []
+    """Check that there are no changes."""
+    assert context.record.changes == []
 
 
-@then("the first report has taken back all that was told before, once")
-def step_taken_back(context):
-    """Check what the first report told, and that a second one does not."""
+@then("the first report voids all earlier updates, once")
+def step_voided(context):
+    """Check the change by the first report, and that a second has none."""
     assert context.first_changes == [(EVERYTHING, -1)], context.first_changes
-    context.book.take_report(_report(), 1.0)
-    assert context.book.changes == [], context.book.changes
+    context.record.take_report(_report(), 1.0)
+    assert context.record.changes == [], context.record.changes
 
 
 @then("nothing is denied")
 def step_none_denied(context):
-    """Check that all that is asked for still waits."""
-    assert not context.book.denied, context.book.denied
+    """Check that no adapter was denied."""
+    assert not context.record.denied, context.record.denied
 
 
 @then("{name} is denied")
 def step_denied(context, name):
-    """Check what will not be loaded."""
-    denied = [one.model for one in context.book.denied]
+    """Check which adapter was denied."""
+    denied = [denial.model for denial in context.record.denied]
     assert denied == [_model(name)], denied
 
 
-@when("{count:d} adapters are wanted")
+@when("{count:d} adapters are requested")
 def step_many(context, count):
-    """Want as many as the book takes."""
+    """Request as many as the queue may have."""
     assert count == MOST_WANTED
     for index in range(count):
-        assert context.book.want(_model(f"x{index}"), 0, Urgency(1), 0.0)
+        assert context.record.want(_model(f"x{index}"), 0, Urgency(1), 0.0)
 
 
 @then("another one is refused")
 def step_refused(context):
-    """Check the bound."""
-    assert not context.book.want(_model("y"), 0, Urgency(0), 0.0)
+    """Check the limit of the queue."""
+    assert not context.record.want(_model("y"), 0, Urgency(0), 0.0)
 
 
-@then("a more urgent asking for a wanted one is taken")
+@then("a more urgent request for a queued adapter is accepted")
 def step_urgent(context):
-    """Check that one that waits already is renewed."""
-    assert context.book.want(_model("x5"), 0, Urgency(0), 0.0)
-    assert context.book.plan(0.0).model == _model("x5")
+    """Check that the request of a queued adapter is renewed."""
+    assert context.record.want(_model("x5"), 0, Urgency(0), 0.0)
+    assert context.record.plan(0.0).model == _model("x5")
 
 
 @when('loads are found done after "{found}"')
 def step_loads(context, found):
-    """Teach the load times."""
+    """Record load times."""
     for load in found.split(", "):
         seconds, _, how = load.partition(" ")
         polls = 1 if how == "at once" else int(how.split()[1])
@@ -213,12 +213,12 @@
 
 @when('loads are found done after ""')
 def step_no_loads(context):
-    """Teach nothing."""
+    """Record no load times."""
 
 
-@then("the next is first asked after after {first:g} seconds")
+@then("the first poll of the next load is after {first:g} seconds")
 def step_first(context, first):
-    """Check when the next load is first asked after."""
+    """Check when the next load is first polled."""
     found = context.times.estimate(False)
     assert abs(found - first) < 1e-9, found
 
@@ -231,13 +231,13 @@
 
 @then('at {at:g} a report {is_read}, and the changes are "{changes}"')
 def step_peek(context, at, is_read, changes):
-    """Check whether a report is due, and what subscribers are told."""
-    assert context.book.take_peek(at) == (is_read == "is read"), is_read
+    """Check whether a report is due, and the changes for subscribers."""
+    assert context.record.take_peek(at) == (is_read == "is read"), is_read
     step_changes(context, changes)
 
 
 @then('at {at:g} a report {is_read}, and the changes are ""')
 def step_peek_no_changes(context, at, is_read):
-    """Check whether a report is due, and that nothing is told."""
-    assert context.book.take_peek(at) == (is_read == "is read"), is_read
-    assert context.book.changes == [], context.book.changes
+    """Check whether a report is due, and that there are no changes."""
+    assert context.record.take_peek(at) == (is_read == "is read"), is_read
+    assert context.record.changes == [], context.record.changes
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -42,25 +42,25 @@
     )
 
 
-def _place(context, name, version):
+def _position(context, name, version):
     return StorePosition(context.eras[name], int(version))
 
 
-def _do(context, at, name, did):
+def _apply(context, at, name, did):
     lease = context.leases[name]
     record = LeaseRecord(name, f"{name}:1", era=lease.era)
     read = _READ.fullmatch(did)
     if did == "knows nothing":
         return
     if did == "reads nothing":
-        lease.note_read(_place(context, name, 0), None, at)
+        lease.note_read(_position(context, name, 0), None, at)
     elif read:
         found = _make_record(read)
-        # The store's clock shows the same time as the test's, half a second
-        # before the answer: what a read's way back may take.
+        # The store's clock equals the test's clock. It was read half a second
+        # before the answer: the transit time of the answer.
         lease.note_time(StoreTime(at - 0.5, at - 0.6, at))
         context.versions[name] = int(read[2])
-        lease.note_read(_place(context, name, read[2]), found, at)
+        lease.note_read(_position(context, name, read[2]), found, at)
     elif did.startswith("sees era "):
         context.eras[name] = int(did.rpartition(" ")[2])
         lease.note_era(context.eras[name], at)
@@ -68,13 +68,13 @@
         context.sent = lease.send(at)
     elif did.startswith("is written as "):
         context.versions[name] = int(did.rpartition(" ")[2])
-        lease.note_written(_place(context, name, context.versions[name]), record, at)
+        lease.note_written(_position(context, name, context.versions[name]), record, at)
     elif did == "is written":
         context.versions[name] += 1
-        lease.note_written(_place(context, name, context.versions[name]), record, at)
-    elif did == "is in doubt":
+        lease.note_written(_position(context, name, context.versions[name]), record, at)
+    elif did == "is unconfirmed":
         lease.note_doubt()
-    elif did == "is lost":
+    elif did == "conflicts":
         lease.note_lost()
     elif did == "releases":
         assert lease.release(at).is_released
@@ -84,15 +84,15 @@
 
 @when('it happens that "{history}"')
 def step_history(context, history):
-    """Let a history happen."""
+    """Apply the steps of a history."""
     for step in history.split(", "):
         at, name, did = step.split(" ", 2)
-        _do(context, float(at), name, did)
+        _apply(context, float(at), name, did)
 
 
 @then("at {at:g} orders may be given by {who}")
 def step_orders(context, at, who):
-    """Check who may order."""
+    """Check which instances may give orders."""
     found = [name for name, lease in context.leases.items() if lease.may_order(at)]
     assert found == ([] if who == "nobody" else [who]), found
 
@@ -134,9 +134,9 @@
     assert is_read == (result == "read"), context.result
 
 
-@then('the row that is sent names "{former}" before it')
+@then('the row that is sent lists "{former}" as previous holders')
 def step_former(context, former):
-    """Check which holders before a taker writes into the row."""
+    """Check the previous holders in the row of a new holder."""
     found = " ".join(f"{address[0]}@{at:g}" for address, at in context.sent.former)
     assert found == former.replace("nobody", ""), found
 
@@ -148,22 +148,22 @@
     assert fence == StorePosition(era, version), fence
 
 
-@then("{name} takes {holder} for the holder")
+@then("{name} considers {holder} the holder")
 def step_holder(context, name, holder):
-    """Check whom an instance takes for the owner."""
+    """Check which instance is considered the holder."""
     found = context.leases[name].holder
     assert (found.process if found else "nobody") == holder, found
 
 
 @when("a record of era {era:d} is written and read")
 def step_mark(context, era):
-    """Encode a record, and read it as this release and the one before do."""
+    """Encode a record, and read it as this and the previous release do."""
     record = LeaseRecord("a#1", "127.0.0.1:1", era=era, first_era=3)
     context.record = LeaseRecord.decode(record.encode())
     context.fields = msgpack.unpackb(record.encode())
 
 
-@then("it is of era {era:d}, and has the {count:d} fields of the release before")
+@then("it is of era {era:d}, and has the {count:d} fields of the previous release")
 def step_marked(context, era, count):
     """Check what was read."""
     found = context.record
--- a/tests/steps/newslog_steps.py
+++ b/tests/steps/newslog_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an owner's news."""
+"""Steps on an owner's updates."""
 
 from behave import given, then, when
 
@@ -14,17 +14,17 @@
     return Change("e", "base", f"x{number}", 1)
 
 
-@given("an owner that has sent {count:d} news")
+@given("an owner that has sent {count:d} updates")
 def step_log(context, count):
-    """Send news of one change each."""
+    """Send updates of one change each."""
     context.log = NewsLog()
     for number in range(1, count + 1):
         assert context.log.add([_change(number)]) == number - 1
 
 
-@when("a subscriber that knows {known} and {lacks} tells so at {times} seconds")
-def step_tell(context, known, lacks, times):
-    """Choose what it is sent each time."""
+@when("a subscriber that knows {known} and {lacks} reports so at {times} seconds")
+def step_report(context, known, lacks, times):
+    """Choose what to send it each time."""
     serial = None if known == "another owner" else int(known)
     is_lacking = lacks == "lacks some"
     context.sent = [
@@ -39,7 +39,9 @@
     assert context.sent == sent.split(), context.sent
 
 
-@then("behind news {known:d} there are the changes of news {first:d} and {second:d}")
+@then(
+    "after update {known:d} there are the changes of updates {first:d} and {second:d}"
+)
 def step_since(context, known, first, second):
     """Check the changes and their order."""
     found = context.log.list_since(known)
@@ -64,15 +66,15 @@
     context.packed = pack_changes([])
 
 
-@then('{count:d} lists are sent, and they tell "{told}"')
-def step_told(context, count, told):
-    """Check the size, and what a receiver reads."""
+@then('{count:d} lists are sent, with the changes "{sent}"')
+def step_packed(context, count, sent):
+    """Check the size, and what a receiver unpacks."""
     assert len(context.packed) == count, context.packed
     found = list(unpack_changes(context.packed))
-    assert found == [_read_change(one) for one in told.split()], found
+    assert found == [_read_change(change) for change in sent.split()], found
 
 
-@then('{count:d} lists are sent, and they tell ""')
-def step_told_none(context, count):
+@then('{count:d} lists are sent, with the changes ""')
+def step_packed_none(context, count):
     """Check that nothing is sent."""
     assert context.packed == []
--- a/tests/steps/position_steps.py
+++ b/tests/steps/position_steps.py
@@ -17,7 +17,7 @@
 
 @then("the position {first} is before {second}, also as numbers")
 def step_before(context, first, second):
-    """Compare two positions, and what instances tell each other of them."""
+    """Compare two positions, and their packed numbers in messages."""
     first, second = _read(first), _read(second)
     assert first < second and first.pack() < second.pack()
     assert StorePosition.unpack(first.pack()) == first
@@ -34,32 +34,32 @@
     raise AssertionError("they were compared")
 
 
-@when("answers tell the eras {eras}")
+@when("answers have the eras {eras}")
 def step_answers(context, eras):
-    """Learn of them in order."""
-    context.returns = []
+    """Record them in order."""
+    context.restores = []
     known = StoreEras()
-    known.on_return.append(context.returns.append)
+    known.on_return.append(context.restores.append)
     context.verdicts = [known.note(int(era), "op") for era in eras.split(", ")]
 
 
 @then("they are {verdicts}")
 def step_verdicts(context, verdicts):
     """Compare the verdicts."""
-    found = ["sound" if verdict else "void" for verdict in context.verdicts]
+    found = ["valid" if verdict else "ignored" for verdict in context.verdicts]
     assert ", ".join(found) == verdicts, found
 
 
-@then("{returns} are told")
-def step_returns(context, returns):
-    """Compare the returns."""
-    found = [f"{one.before} to {one.era}" for one in context.returns]
-    assert (", ".join(found) or "no returns") == returns, found
+@then("the restores are {restores}")
+def step_restores(context, restores):
+    """Compare the restores."""
+    found = [f"{restore.before} to {restore.era}" for restore in context.restores]
+    assert (", ".join(found) or "none") == restores, found
 
 
-@when("the store has come back, and a row of before is to be written")
+@when("the store is restored, and a row of the earlier era is to be written")
 def step_write(context):
-    """Write under a condition of the era before."""
+    """Write with a condition of the earlier era."""
     context.entries = Entries()
     context.add_cleanup(context.entries.close)
     entry = context.entries.start("a", "z1")
@@ -75,14 +75,14 @@
 
 @then("it is a conflict, and no call was made")
 def step_conflict(context):
-    """Look at the failure, and at the calls."""
+    """Check the failure and the calls."""
     (failure,) = context.failures
     assert isinstance(failure, VersionConflict) and not context.calls, context.calls
 
 
-@when("the store came back older at {at:g}, and its rows are read at {read:g}")
+@when("the store is restored at {at:g}, and its rows are read at {read:g}")
 def step_fresh(context, at, read):
-    """Read them once before, and once at a time."""
+    """Read them once before the restore, and once at a time."""
     context.freshness = Freshness()
     context.freshness.note_read(10.0)
     context.freshness.note_return(at + RETURN_GRACE)
--- a/tests/steps/serving_steps.py
+++ b/tests/steps/serving_steps.py
@@ -52,12 +52,12 @@
     context.chosen = [int(route.choose_service(f"call-{i}")) for i in range(4000)]
 
 
-@then("the parts are within 0.03 of {parts}")
-def step_parts(context, parts):
-    """Check the shares."""
-    for index, part in enumerate(parts.split(", ")):
-        share = context.chosen.count(index) / len(context.chosen)
-        assert abs(share - float(part)) <= 0.03, (index, share)
+@then("the fractions are within 0.03 of {fractions}")
+def step_fractions(context, fractions):
+    """Check the fraction of calls of each service."""
+    for index, expected in enumerate(fractions.split(", ")):
+        fraction = context.chosen.count(index) / len(context.chosen)
+        assert abs(fraction - float(expected)) <= 0.03, (index, fraction)
 
 
 @given("a directory with the endpoints a and b")
@@ -68,9 +68,9 @@
     context.directory.replace(endpoints, -10.0)
 
 
-@when('it happens to the directory that "{history}"')
+@when('the history of the directory is "{history}"')
 def step_directory_history(context, history):
-    """Let a history happen."""
+    """Apply the steps of a history."""
     directory = context.directory
     for step in history.split(", "):
         at, _, did = step.partition(" ")
@@ -121,13 +121,13 @@
 
 @given("the health of 4 endpoints")
 def step_health(context):
-    """Make a record of health."""
+    """Make the health records."""
     context.health = Health()
 
 
-@when('it happens to their health that "{history}"')
+@when('the history of their calls is "{history}"')
 def step_health_history(context, history):
-    """Let calls fail and succeed."""
+    """Record failed and successful calls."""
     for step in history.split(", "):
         at, name, did = step.split(" ", 2)
         words = did.split()
@@ -148,7 +148,7 @@
 
 @then('at {at:g} the usable endpoints are "{names}"')
 def step_usable(context, at, names):
-    """Check which are not ejected."""
+    """Check which endpoints are usable."""
     endpoints = [_endpoint(name) for name in "abcd"]
     usable = [one.id for one in context.health.list_usable(endpoints, at)]
     assert usable == names.split(), usable
@@ -162,13 +162,13 @@
 
 @when("a runs {a:d}, b runs {b:d} and c runs {c:d}")
 def step_running(context, a, b, c):
-    """Say how many calls run."""
+    """Set the number of running calls."""
     context.running = {"a": a, "b": b, "c": c}
 
 
 @then("a call from {zone} goes to {names}")
 def step_goes(context, zone, names):
-    """Check the choice; of several that are alike, each is drawn as often."""
+    """Check the choice; tied endpoints are chosen about equally often."""
     rng = random.Random(5)
     count = context.running.__getitem__
     chosen = Counter(
@@ -185,29 +185,29 @@
     context.engines = [_endpoint(f"e{index}") for index in range(9)]
 
 
-def _find_homes(engines, count):
-    homes = Homes()
+def _find_preferred(engines, count):
+    preferred = Homes()
     models = [Model("m", f"a{index}") for index in range(count)]
-    return {model: homes.rank("s", engines, model, 1)[0].id for model in models}
+    return {model: preferred.rank("s", engines, model, 1)[0].id for model in models}
 
 
-@when("the homes of {count:d} adapters are found")
-def step_homes(context, count):
-    """Find where adapters are loaded first."""
-    context.homes = _find_homes(context.engines, count)
-    context.others = _find_homes(context.engines[1:], count)
+@when("the preferred endpoints of {count:d} adapters are computed")
+def step_preferred(context, count):
+    """Find the preferred endpoints, with all engines and without the first."""
+    context.preferred = _find_preferred(context.engines, count)
+    context.without_first = _find_preferred(context.engines[1:], count)
 
 
-@then("each engine is home to at least {least:d} of them")
-def step_spread(context, least):
-    """Check that the adapters are spread."""
-    found = list(context.homes.values())
+@then("each engine is preferred by at least {least:d} of them")
+def step_balanced(context, least):
+    """Check that the adapters are distributed over the engines."""
+    found = list(context.preferred.values())
     assert all(found.count(engine.id) >= least for engine in context.engines)
 
 
-@then("without one engine only its own adapters have another home")
+@then("without one engine only its own adapters prefer another")
 def step_stable(context):
-    """Check that homes are stable."""
+    """Check that preferred endpoints are stable."""
     lost = context.engines[0].id
-    for model, home in context.homes.items():
-        assert context.others[model] == home or home == lost
+    for model, endpoint in context.preferred.items():
+        assert context.without_first[model] == endpoint or endpoint == lost
