--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from roadlift.serving.loads import FIRST_DURATION, measure_queue
+from roadlift.serving.loads import INITIAL_DURATION, measure_queue
 
 # Part by which an engine's calls, or the prompt tokens unread there, must
 # differ from what was told to be told again, and the tokens of that at least.
@@ -32,7 +32,7 @@
     reading: int
     places: int
     loads: int = 0
-    load_time: float = FIRST_DURATION
+    load_time: float = INITIAL_DURATION
 
     def differs(self, told: "EngineLoad") -> bool:
         """Tell whether a subscriber should hear of this load."""
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -17,7 +17,7 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.engine import DenialReason, EngineBook
 from roadlift.serving.identity import identify_load
-from roadlift.serving.loads import BaseLoads, LoadTimes
+from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.messages import (
     Ask,
     Denial,
@@ -64,7 +64,7 @@
         self._askers: dict[tuple[str, Model], set[str]] = {}
         self._times = LoadTimes()
         self._denials = Denials()
-        self._base_loads: BaseLoads | None = None
+        self._base_loads: BaseLoadLimiter | None = None
         self._loads: dict[str, EngineLoad] = {}
         self._loads_at = float("-inf")
         self.fence = fence
@@ -110,7 +110,7 @@
         bases = tuple(model.name for model in shape.models)
         if self._base_loads is None:
             zones = len(self._kernel.get(Leases).list_zones())
-            self._base_loads = BaseLoads(shape.loads_per_second / zones)
+            self._base_loads = BaseLoadLimiter(shape.loads_per_second / zones)
         book = EngineBook(
             shape.adapter_slots, bases, self._times, self._base_loads, self._denials
         )
@@ -326,7 +326,7 @@
             model=str(model),
             reason=reason.value,
             held=book.count_copies(CopyState.HELD),
-            arriving=book.count_copies(CopyState.ARRIVING),
+            arriving=book.count_copies(CopyState.LOADING),
             in_use=book.usage.count_used(),
             running=book.usage.count_running(),
         )
--- a/roadlift/serving/copies.py
+++ b/roadlift/serving/copies.py
@@ -2,19 +2,19 @@
 
 import enum
 
-NEXT_POLL = 0.01  # Seconds between the first and the second poll.
+FIRST_POLL_INTERVAL = 0.01  # Seconds between the first and the second poll.
 
 
 class CopyState(enum.Enum):
     """The state of an adapter's copy.
 
-    LEAVING and REPLACING wait for the calls that run on the copy to end.
+    UNLOADING and REPLACING wait for the calls that run on the copy to end.
     Until then the engine accepts no order but a repetition of this one.
     """
 
-    ARRIVING = "arriving"
+    LOADING = "loading"
     HELD = "held"
-    LEAVING = "leaving"
+    UNLOADING = "unloading"
     REPLACING = "replacing"
 
 
@@ -22,15 +22,15 @@
     """A copy of an adapter at the engine.
 
     ``version`` is the version held, ``target`` the version ordered;
-    ``is_return`` is set if the engine held the adapter before.
+    ``is_reload`` is set if the engine held the adapter before.
     """
 
     __slots__ = (
         "failed_polls",
         "is_outdated",
-        "is_return",
+        "is_reload",
         "poll_at",
-        "poll_pause",
+        "poll_interval",
         "polls",
         "since",
         "state",
@@ -44,8 +44,8 @@
         self.target = version
         self.since = now
         self.is_outdated = False
-        self.is_return = False
+        self.is_reload = False
         self.poll_at = now
-        self.poll_pause = NEXT_POLL
+        self.poll_interval = FIRST_POLL_INTERVAL
         self.polls = 0
         self.failed_polls = 0
--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -19,10 +19,10 @@
 from roadlift.decisions.urgency import Urgency, Want, merge_want
 from roadlift.policy.eviction import AgedFrequencyEvictor, UseHistory
 from roadlift.serving.calls import Model
-from roadlift.serving.copies import NEXT_POLL, Copy, CopyState
+from roadlift.serving.copies import FIRST_POLL_INTERVAL, Copy, CopyState
 from roadlift.serving.loads import (
-    MOST_ARRIVING,
-    BaseLoads,
+    MAX_CONCURRENT_LOADS,
+    BaseLoadLimiter,
     LoadTimes,
     measure_queue,
 )
@@ -129,7 +129,7 @@
         slots: int,
         bases: tuple[str, ...],
         times: LoadTimes,
-        base_loads: BaseLoads,
+        base_loads: BaseLoadLimiter,
         denials: Denials | None = None,
     ) -> None:
         self._slots = slots
@@ -204,7 +204,7 @@
     def count_loads_ahead(self) -> int:
         """Return the number of loads in progress or queued."""
         waiting = sum(model not in self.copies for model in self._queue)
-        return self.count_copies(CopyState.ARRIVING) + waiting
+        return self.count_copies(CopyState.LOADING) + waiting
 
     def measure_load_time(self) -> float:
         """Return the seconds that a load takes at this owner's engines."""
@@ -219,7 +219,7 @@
         return [
             model
             for model, copy in self.copies.items()
-            if copy.state is CopyState.ARRIVING
+            if copy.state is CopyState.LOADING
         ]
 
     def want(self, model: Model, least: int, urgency: Urgency, now: float) -> bool:
@@ -246,7 +246,7 @@
             queued.want.since <= since and queued.model not in self.copies
             for queued in self._queue.values()
         )
-        ahead = self.count_copies(CopyState.ARRIVING) + earlier
+        ahead = self.count_copies(CopyState.LOADING) + earlier
         queue = measure_queue(ahead, self._load_times.duration)
         return len(self._queue) < MOST_WANTED and queue <= urgency.limit
 
@@ -290,7 +290,7 @@
             self._put(model, CopyState.HELD, version, now)
         for model, version in arriving.items():
             if model not in held:
-                self._put(model, CopyState.ARRIVING, version, now)
+                self._put(model, CopyState.LOADING, version, now)
 
     def _put(self, model: Model, state: CopyState, version: int, now: float) -> None:
         copy = self.copies.get(model)
@@ -362,7 +362,7 @@
             copy.poll_at
             for copy in self.copies.values()
             if copy.state is not CopyState.HELD
-            and not (is_blocked and copy.state is CopyState.ARRIVING)
+            and not (is_blocked and copy.state is CopyState.LOADING)
         ]
 
     def _list_order_times(self, now: float) -> list[float]:
@@ -377,7 +377,7 @@
         return [
             copy.poll_at
             for copy in self.copies.values()
-            if copy.state is CopyState.ARRIVING
+            if copy.state is CopyState.LOADING
         ]
 
     def take_peek(self, now: float) -> bool:
@@ -397,12 +397,12 @@
         """Record which of the adapters being loaded a report shows as held."""
         for held in report.held:
             copy = self.copies.get(held.model)
-            if copy is not None and copy.state is CopyState.ARRIVING:
+            if copy is not None and copy.state is CopyState.LOADING:
                 self._record_held(held.model, copy, held.version, now)
 
     def _has_max_loads(self) -> bool:
         """Return whether the engine has the maximum of concurrent loads."""
-        return self.count_copies(CopyState.ARRIVING) >= MOST_ARRIVING
+        return self.count_copies(CopyState.LOADING) >= MAX_CONCURRENT_LOADS
 
     def measure_pause(self, now: float) -> float:
         """Return the seconds until the report may be read."""
@@ -457,7 +457,7 @@
     def _is_blocked(self) -> bool:
         """Return whether an order that waits for calls blocks all others."""
         return any(
-            copy.state in (CopyState.LEAVING, CopyState.REPLACING)
+            copy.state in (CopyState.UNLOADING, CopyState.REPLACING)
             for copy in self.copies.values()
         )
 
@@ -465,7 +465,7 @@
         """Return an order for the base model if the engine has none."""
         if self.bases or not self._configured_bases or now < self._base_poll_at:
             return None
-        if not self._is_base_ordered and not self._base_loads.take(now):
+        if not self._is_base_ordered and not self._base_loads.acquire(now):
             self._base_poll_at = self._base_loads.next_at
             return None
         return Plan(Action.LOAD, Model(self._configured_bases[0]), None)
@@ -476,9 +476,9 @@
         for model, copy in self.copies.items():
             if copy.state is CopyState.HELD or now < copy.poll_at:
                 continue
-            if copy.state is CopyState.ARRIVING and is_blocked:
+            if copy.state is CopyState.LOADING and is_blocked:
                 continue
-            if copy.state is CopyState.LEAVING:
+            if copy.state is CopyState.UNLOADING:
                 return Plan(Action.UNLOAD, model, None, True)
             copy.polls += 1
             return Plan(Action.LOAD, model, copy.target or None, True)
@@ -495,9 +495,9 @@
             return None
         self.evictions += 1
         copy = self.copies[victim]
-        copy.state = CopyState.LEAVING
+        copy.state = CopyState.UNLOADING
         copy.since = now
-        copy.poll_pause = NEXT_POLL
+        copy.poll_interval = FIRST_POLL_INTERVAL
         self.changes.append((victim, -1))
         return Plan(Action.UNLOAD, victim, None)
 
@@ -579,7 +579,7 @@
         if result is OrderResult.DONE and plan.action is Action.UNLOAD:
             del self.copies[plan.model]
         elif result is OrderResult.DONE:
-            self._load_times.note(copy.is_return, now - copy.since, copy.polls)
+            self._load_times.record(copy.is_reload, now - copy.since, copy.polls)
             self._record_held(plan.model, copy, plan.version or 0, now)
         elif result is OrderResult.ACCEPTED:
             copy.failed_polls = 0
@@ -592,8 +592,8 @@
             self._request_report(now + DOUBT_PAUSE)
 
     def _schedule_poll(self, copy: Copy, now: float) -> None:
-        copy.poll_at = now + copy.poll_pause
-        copy.poll_pause = min(MOST_POLL, copy.poll_pause * POLL_GROWTH)
+        copy.poll_at = now + copy.poll_interval
+        copy.poll_interval = min(MOST_POLL, copy.poll_interval * POLL_GROWTH)
 
     def _record_done(self, plan: Plan, now: float) -> None:
         """Record an order that was carried out at once.
@@ -612,7 +612,7 @@
         self.sequence += 1 if plan.tries else 0
         copy = self.copies.get(plan.model)
         if copy is None:
-            copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
+            copy = self.copies[plan.model] = Copy(CopyState.LOADING, 0, now)
         self._record_held(plan.model, copy, plan.version or 0, now)
 
     def _record_accepted(self, plan: Plan, now: float) -> None:
@@ -622,21 +622,21 @@
             return
         copy = self.copies.get(plan.model)
         if copy is None:
-            copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
+            copy = self.copies[plan.model] = Copy(CopyState.LOADING, 0, now)
             copy.target = plan.version or 0
-        if copy.state is not CopyState.ARRIVING:
+        if copy.state is not CopyState.LOADING:
             self._schedule_poll(copy, now)
             return
         copy.since = now
-        copy.is_return = plan.model in self._held_before
-        copy.poll_at = now + self._load_times.estimate(copy.is_return)
+        copy.is_reload = plan.model in self._held_before
+        copy.poll_at = now + self._load_times.estimate(copy.is_reload)
 
     def _record_unconfirmed(self, plan: Plan, now: float) -> None:
         """Count an unconfirmed load as occupying a slot until the report."""
         if not plan.model.adapter:
             self._base_poll_at = now + BASE_POLL
         elif plan.action is Action.LOAD and plan.model not in self.copies:
-            copy = self.copies[plan.model] = Copy(CopyState.ARRIVING, 0, now)
+            copy = self.copies[plan.model] = Copy(CopyState.LOADING, 0, now)
             copy.target = plan.version or 0
 
     def _record_refused(self, plan: Plan) -> None:
--- a/roadlift/serving/loads.py
+++ b/roadlift/serving/loads.py
@@ -1,14 +1,14 @@
 """Limit the loads of an owner's engines, and estimate their duration."""
 
-FIRST_POLL = 0.02  # Seconds after a load order until its first poll.
+FIRST_POLL_DELAY = 0.02  # Seconds after a load order until its first poll.
 SMOOTHING = 0.3  # Weight of the latest load in the estimate of load times.
 # Factor by which the first poll moves earlier after a load that was already
 # done at its first poll.
-SOONER = 0.9
-MOST_FIRST_POLL = 0.3  # Seconds until the first poll of a load at most.
+EARLIER_FACTOR = 0.9
+MAX_FIRST_POLL_DELAY = 0.3  # Seconds until the first poll of a load at most.
 # Concurrent loads at one engine; further ones would only wait inside it.
-MOST_ARRIVING = 4
-FIRST_DURATION = 0.25  # Seconds of a load before any was observed.
+MAX_CONCURRENT_LOADS = 4
+INITIAL_DURATION = 0.25  # Seconds of a load before any was observed.
 
 
 def measure_queue(ahead: int, duration: float) -> float:
@@ -17,10 +17,10 @@
     ``ahead`` is the number of loads there in progress or queued, each of which
     takes ``duration`` seconds.
     """
-    return max(0, ahead - MOST_ARRIVING + 1) * duration / MOST_ARRIVING
+    return max(0, ahead - MAX_CONCURRENT_LOADS + 1) * duration / MAX_CONCURRENT_LOADS
 
 
-class BaseLoads:
+class BaseLoadLimiter:
     """One owner's share of the weight store's rate limit for base models.
 
     The platform limits how many loads from the weight store begin per second
@@ -32,7 +32,7 @@
         self._interval = 1.0 / rate if rate > 0 else 0.0
         self.next_at = 0.0
 
-    def take(self, now: float) -> bool:
+    def acquire(self, now: float) -> bool:
         """Return whether a load may begin now, and count it if so."""
         if now < self.next_at:
             return False
@@ -49,18 +49,18 @@
 
     def __init__(self) -> None:
         self._first_polls: dict[bool, float] = {}
-        self._duration = FIRST_DURATION
+        self._duration = INITIAL_DURATION
 
     @property
     def duration(self) -> float:
         """Return the smoothed duration of recent loads from any source."""
         return self._duration
 
-    def estimate(self, is_return: bool) -> float:
+    def estimate(self, is_reload: bool) -> float:
         """Return the seconds from a load order to its first poll."""
-        return self._first_polls.get(is_return, FIRST_POLL)
+        return self._first_polls.get(is_reload, FIRST_POLL_DELAY)
 
-    def note(self, is_return: bool, seconds: float, polls: int) -> None:
+    def record(self, is_reload: bool, seconds: float, polls: int) -> None:
         """Record the duration of a load, found done after ``polls`` polls.
 
         If the first poll found it done, it may have ended long before, so the
@@ -68,8 +68,8 @@
         """
         self._duration += SMOOTHING * (seconds - self._duration)
         if polls <= 1:
-            self._first_polls[is_return] = self.estimate(is_return) * SOONER
+            self._first_polls[is_reload] = self.estimate(is_reload) * EARLIER_FACTOR
             return
-        first_poll = self._first_polls.get(is_return, seconds)
+        first_poll = self._first_polls.get(is_reload, seconds)
         first_poll += SMOOTHING * (seconds - first_poll)
-        self._first_polls[is_return] = min(MOST_FIRST_POLL, first_poll)
+        self._first_polls[is_reload] = min(MAX_FIRST_POLL_DELAY, first_poll)
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -15,7 +15,7 @@
 from roadlift.serving.calls import Model
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.engine import EngineBook
-from roadlift.serving.loads import BaseLoads, LoadTimes
+from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 
 _SOURCES = {source.value: source for source in Source}
@@ -248,7 +248,7 @@
 def step_random_wants(context, slots, seed):
     """Drive the book of an engine that carries out each order in 10 ms."""
     draw = random.Random(seed)
-    book = EngineBook(slots, ("base",), LoadTimes(), BaseLoads(0.0))
+    book = EngineBook(slots, ("base",), LoadTimes(), BaseLoadLimiter(0.0))
     book.take_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
     context.slots, context.waits, context.most = slots, [], 0
     wanted, ends = {}, {}
--- a/tests/steps/engine_steps.py
+++ b/tests/steps/engine_steps.py
@@ -12,7 +12,7 @@
     MOST_WANTED,
     EngineBook,
 )
-from roadlift.serving.loads import BaseLoads, LoadTimes
+from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.orders import EngineReport, HeldAdapter, OrderResult
 
 _BASE = "base"
@@ -38,7 +38,7 @@
 def step_record(context):
     """Make a record that has read its engine's report."""
     context.times = LoadTimes()
-    context.base_loads = BaseLoads(1.0)
+    context.base_loads = BaseLoadLimiter(1.0)
     context.record = EngineBook(2, (_BASE,), context.times, context.base_loads)
     context.record.take_report(_report(), 0.0)
     context.first_changes = list(context.record.changes)
@@ -95,7 +95,7 @@
     elif did == "shows a and b":
         record.note_arrivals(_report(held=("a", "b")), at)
     elif did == "another engine loads its base":
-        assert context.base_loads.take(at)
+        assert context.base_loads.acquire(at)
     elif did == "reports no base":
         record.take_report(_report(bases=()), at)
     else:
@@ -208,7 +208,7 @@
     for load in found.split(", "):
         seconds, _, how = load.partition(" ")
         polls = 1 if how == "at once" else int(how.split()[1])
-        context.times.note(False, float(seconds), polls)
+        context.times.record(False, float(seconds), polls)
 
 
 @when('loads are found done after ""')
