--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -16,7 +16,7 @@
 from roadlift.instance.standings import Standings
 from roadlift.relay.upstream import Answer, fetch
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import EngineBook, Plan
+from roadlift.serving.engine import EngineRecord, Plan
 from roadlift.serving.orders import EngineReport, Order, OrderResult
 
 # Seconds for the answer to an order, which comes within some milliseconds and
@@ -32,7 +32,7 @@
     """One engine under this owner: its book, and the orders on their way."""
 
     def __init__(
-        self, kernel: Kernel, zone: str, endpoint: Endpoint, book: EngineBook
+        self, kernel: Kernel, zone: str, endpoint: Endpoint, book: EngineRecord
     ) -> None:
         self._kernel = kernel
         self._orders = kernel.get(Platform).adapter.orders
@@ -74,7 +74,7 @@
             return
         while (plan := self.book.plan(now)) is not None:
             self._send(plan)
-        if self.book.take_peek(now):
+        if self.book.start_load_check(now):
             self._fetch_report(self._take_arrivals, self._fail_peek)
         if self.book.denied:
             self.on_change(self)
@@ -139,7 +139,7 @@
             result=result.value,
             said=said,
         )
-        self.book.note_result(plan, result, self._kernel.clock.now())
+        self.book.record_result(plan, result, self._kernel.clock.now())
         self.on_change(self)
         self.advance()
 
@@ -202,11 +202,11 @@
 
     def _take_report(self, report: EngineReport) -> None:
         self._is_reading = False
-        self.book.take_report(report, self._kernel.clock.now())
+        self.book.apply_report(report, self._kernel.clock.now())
         self.on_report(self)
 
     def _take_arrivals(self, report: EngineReport) -> None:
-        self.book.note_arrivals(report, self._kernel.clock.now())
+        self.book.record_loaded(report, self._kernel.clock.now())
         self.on_change(self)
 
     def _fail_peek(self, error: RoadliftError) -> None:
@@ -218,6 +218,6 @@
         self._note_error(error)
         if self._is_open:
             log.event("report_failed", endpoint=self.endpoint.id, error=str(error))
-            self.book.note_failed_report(self._kernel.clock.now())
+            self.book.record_failed_report(self._kernel.clock.now())
             self.on_change(self)
             self._wait(REPORT_PAUSE)
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -15,7 +15,7 @@
 from roadlift.serving.calls import Model
 from roadlift.serving.copies import CopyState
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import DenialReason, EngineBook
+from roadlift.serving.engine import DenialReason, EngineRecord
 from roadlift.serving.identity import identify_load
 from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.messages import (
@@ -111,7 +111,7 @@
         if self._base_loads is None:
             zones = len(self._kernel.get(Leases).list_zones())
             self._base_loads = BaseLoadLimiter(shape.loads_per_second / zones)
-        book = EngineBook(
+        book = EngineRecord(
             shape.adapter_slots, bases, self._times, self._base_loads, self._denials
         )
         engine = OwnedEngine(self._kernel, self._zone, endpoint, book)
@@ -143,7 +143,7 @@
                 continue
             model = Model(base, adapter)
             if begun:
-                engine.book.note_use(model, begun, now)
+                engine.book.record_use(model, begun, now)
             engine.book.usage.note_running(message.address, model, running)
         for endpoint, tokens in message.reading:
             if endpoint in self.engines:
@@ -176,7 +176,7 @@
                 name: EngineLoad(
                     engine.book.usage.count_running(),
                     engine.book.usage.count_reading(),
-                    engine.book.count_places(now),
+                    engine.book.count_free_slots(now),
                     engine.book.count_loads_ahead(),
                     engine.book.measure_load_time(),
                 )
@@ -208,7 +208,7 @@
             deny(self._transport, message)
             return
         if message.is_missing:
-            engine.book.note_missing(model)
+            engine.book.record_missing(model)
         if engine.book.holds(model, message.least):
             version = engine.book.copies[model].version
             loaded = Loaded(message.endpoint, *model, version)
@@ -217,7 +217,9 @@
         if self._ledger.judge(lambda: self._identify(model)) is not None:
             deny(self._transport, message)
             return
-        if not engine.book.want(model, message.least, Urgency(*message.urgency), now):
+        if not engine.book.request_load(
+            model, message.least, Urgency(*message.urgency), now
+        ):
             deny(self._transport, message)
             return
         asked = self._askers.setdefault((message.endpoint, model), set())
@@ -230,7 +232,7 @@
         self._askers = {
             (name, model): asked
             for (name, model), asked in self._askers.items()
-            if name in self.engines and self.engines[name].book.is_wanted(model)
+            if name in self.engines and self.engines[name].book.is_load_requested(model)
         }
         for address, heard in list(self._subscribers.items()):
             if now - heard > SUBSCRIBER_LIMIT:
@@ -278,7 +280,7 @@
         engines = [
             [name, [[*model, held] for model, held in engine.book.list_held().items()]]
             for name, engine in self.engines.items()
-            if engine.book.is_read
+            if engine.book.has_report
         ]
         return Listing(self._zone, self.fence, self._news.serial, engines)
 
@@ -308,7 +310,7 @@
         """Learn that an engine ended: a load on its way may be the cause."""
         signs = [
             Sign(self._identify(model), engine.endpoint.id, WEAK, 0.0)
-            for model in engine.book.list_arriving()
+            for model in engine.book.list_loading()
         ]
         self._ledger.learn(signs)
 
--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -31,49 +31,49 @@
 
 # Resends of an unanswered order before its outcome counts as unconfirmed. With
 # 3 of 10 sends unanswered, the worst rate seen, 1 order of 100 gets there.
-MOST_RESENDS = 3
+MAX_RESENDS = 3
 # Consecutive polls of one copy without a useful answer before the engine's
 # report is read.
-MOST_FAILED_POLLS = 3
-MOST_POLL = 0.1  # Seconds between polls at most.
+MAX_FAILED_POLLS = 3
+MAX_POLL_INTERVAL = 0.1  # Seconds between polls at most.
 POLL_GROWTH = 1.5  # Factor by which the interval grows with each poll.
-BASE_POLL = 0.3  # Seconds between polls of a base model's load.
-RETRY_PAUSE = 0.05  # Seconds after an order that was refused or not sent.
+BASE_POLL_INTERVAL = 0.3  # Seconds between polls of a base model's load.
+RETRY_BACKOFF = 0.05  # Seconds after an order that was refused or not sent.
 # Seconds after an unconfirmed order until the engine's report shows it.
-DOUBT_PAUSE = 0.6
+UNCONFIRMED_BACKOFF = 0.6
 # Seconds after a copy's last use in which it may run calls that the instances
 # have not reported yet: their report interval and a message's transit time.
-FRESH_USE = 0.2
+RECENT_USE_WINDOW = 0.2
 # Seconds that an adapter waits for a copy without running calls that can be
 # evicted or replaced. Then it is denied, and requested at another engine: an
 # order for a copy that runs calls would block all others until they end.
-PATIENCE = 0.5
-NO_VICTIM_PAUSE = 0.05  # Seconds until the next search for a victim.
+LOAD_MAX_WAIT = 0.5
+NO_VICTIM_BACKOFF = 0.05  # Seconds until the next search for a victim.
 # Seconds between reads of the report while an order blocks all others and
 # adapters are loading. A report costs a hundredth of a load or less.
-PEEK_PERIOD = 0.15
+BLOCKED_REPORT_INTERVAL = 0.15
 # Consecutive unreadable reports after which an engine is unreachable.
-MOST_FAILED_REPORTS = 2
-MOST_WANTED = 64  # Adapters queued for one engine.
+MAX_FAILED_REPORTS = 2
+MAX_QUEUED_LOADS = 64  # Adapters queued for one engine.
 # Seconds after the last request for an adapter at which no call waits for it
 # any longer; instances repeat the request every 0.3 s while a call waits.
-WANT_LIFE = 1.0
+LOAD_REQUEST_TTL = 1.0
 
 
-# Stands for all adapters of an engine in ``EngineBook.changes``.
-EVERYTHING = Model("")
+# Stands for all adapters of an engine in ``EngineRecord.changes``.
+ALL_ADAPTERS = Model("")
 
 
-class Wanted(NamedTuple):
+class QueuedLoad(NamedTuple):
     """An adapter that is queued for loading.
 
-    ``least`` is the oldest version that will do; ``asked_at`` is the time of
-    the last request, in seconds.
+    ``least`` is the oldest version that will do; ``request`` has what orders
+    the queue; ``asked_at`` is the time of the last request, in seconds.
     """
 
     model: Model
     least: int
-    want: Want
+    request: Want
     asked_at: float
 
 
@@ -115,13 +115,14 @@
     tries: int = 0
 
 
-class EngineBook:
+class EngineRecord:
     """The owner's record of one engine.
 
     ``changes`` collects (model, version) for the subscribers. A version of -1
-    means that the adapter is gone; with ``EVERYTHING`` it means that all that
-    an earlier owner reported of the engine is void. ``denied`` collects the
-    adapters that will not be loaded.
+    means that the adapter is gone; with ``ALL_ADAPTERS`` it means that all
+    updates of earlier owners about the engine are void. ``denied`` collects
+    the adapters that will not be loaded. ``has_report`` is set once a report
+    of the engine has been read.
     """
 
     def __init__(
@@ -142,7 +143,7 @@
         self._base_poll_at = 0.0
         self._evictor = AgedFrequencyEvictor()
         self._uses = UseHistory()
-        self._queue: dict[Model, Wanted] = {}
+        self._queue: dict[Model, QueuedLoad] = {}
         self._backoff_until = 0.0
         self._hold_until = 0.0
         self._in_flight: Plan | None = None
@@ -155,7 +156,7 @@
         self.copies: dict[Model, Copy] = {}
         self.bases: set[str] = set()
         self.needs_report = True
-        self.is_read = False
+        self.has_report = False
         self.changes: list[tuple[Model, int]] = []
         self.denied: list[Denied] = []
         self.loads = 0
@@ -183,11 +184,11 @@
 
     # Reports and requests from the instances.
 
-    def note_use(self, model: Model, count: int, now: float) -> None:
+    def record_use(self, model: Model, count: int, now: float) -> None:
         """Count uses of an adapter."""
         self._uses.find(model, now).note(now, count)
 
-    def count_places(self, now: float) -> int:
+    def count_free_slots(self, now: float) -> int:
         """Return how many further adapters could be loaded now.
 
         If more are queued than there are free slots, the number is negative.
@@ -214,7 +215,7 @@
         """Return how many copies are in a state."""
         return sum(copy.state is state for copy in self.copies.values())
 
-    def list_arriving(self) -> list[Model]:
+    def list_loading(self) -> list[Model]:
         """Return the adapters that are being loaded."""
         return [
             model
@@ -222,7 +223,9 @@
             if copy.state is CopyState.LOADING
         ]
 
-    def want(self, model: Model, least: int, urgency: Urgency, now: float) -> bool:
+    def request_load(
+        self, model: Model, least: int, urgency: Urgency, now: float
+    ) -> bool:
         """Queue an adapter for loading; False if it can't be loaded in time.
 
         A load that ends after its callers have disconnected is wasted.
@@ -236,21 +239,21 @@
             return False
         if known is not None:
             least = max(least, known.least)
-        want = merge_want(known.want if known else None, urgency, now, since)
-        self._queue[model] = Wanted(model, least, want, now)
+        request = merge_want(known.request if known else None, urgency, now, since)
+        self._queue[model] = QueuedLoad(model, least, request, now)
         return True
 
     def _can_begin_in_time(self, since: float, urgency: Urgency) -> bool:
         """Return whether a load would begin in time, given the loads ahead."""
         earlier = sum(
-            queued.want.since <= since and queued.model not in self.copies
+            queued.request.since <= since and queued.model not in self.copies
             for queued in self._queue.values()
         )
         ahead = self.count_copies(CopyState.LOADING) + earlier
         queue = measure_queue(ahead, self._load_times.duration)
-        return len(self._queue) < MOST_WANTED and queue <= urgency.limit
+        return len(self._queue) < MAX_QUEUED_LOADS and queue <= urgency.limit
 
-    def is_wanted(self, model: Model) -> bool:
+    def is_load_requested(self, model: Model) -> bool:
         """Return whether an adapter is requested and not loaded yet."""
         return model in self._queue
 
@@ -263,7 +266,7 @@
         if copy.state is CopyState.HELD:
             self.changes.append((model, -1))
 
-    def note_missing(self, model: Model) -> None:
+    def record_missing(self, model: Model) -> None:
         """Record that the engine refused a call for lack of an adapter."""
         copy = self.copies.get(model)
         if copy is not None and copy.state is CopyState.HELD:
@@ -273,13 +276,13 @@
 
     # Reports from the engine.
 
-    def take_report(self, report: EngineReport, now: float) -> None:
+    def apply_report(self, report: EngineReport, now: float) -> None:
         """Apply the engine's report, read while no order was in flight."""
         self.needs_report = False
         self._failed_reports = 0
-        if not self.is_read:
-            self.is_read = True
-            self.changes.append((EVERYTHING, -1))
+        if not self.has_report:
+            self.has_report = True
+            self.changes.append((ALL_ADAPTERS, -1))
         self.sequence = report.sequence
         self.bases = set(report.bases)
         held = {adapter.model: adapter.version for adapter in report.held}
@@ -314,7 +317,7 @@
         queued = self._queue.get(model)
         if queued is not None and version >= queued.least:
             # The calls that waited for it begin now, before they are reported.
-            self.note_use(model, 1, now)
+            self.record_use(model, 1, now)
             del self._queue[model]
 
     def _remove(self, model: Model) -> None:
@@ -327,7 +330,7 @@
     def plan(self, now: float) -> Plan | None:
         """Return the next order or poll, or None.
 
-        The caller passes the outcome of each to ``note_result``.
+        The caller passes the outcome of each to ``record_result``.
         """
         if self._in_flight is None and self._resend is not None:
             self._in_flight, self._resend = self._resend, None
@@ -380,7 +383,7 @@
             if copy.state is CopyState.LOADING
         ]
 
-    def take_peek(self, now: float) -> bool:
+    def start_load_check(self, now: float) -> bool:
         """Return whether to read a report for the adapters being loaded.
 
         The engine answers no order while another waits for running calls to
@@ -390,10 +393,10 @@
         is_due = bool(poll_times) and now >= max(self._next_report_at, min(poll_times))
         if not is_due or not self._is_blocked():
             return False
-        self._next_report_at = now + PEEK_PERIOD
+        self._next_report_at = now + BLOCKED_REPORT_INTERVAL
         return True
 
-    def note_arrivals(self, report: EngineReport, now: float) -> None:
+    def record_loaded(self, report: EngineReport, now: float) -> None:
         """Record which of the adapters being loaded a report shows as held."""
         for held in report.held:
             copy = self.copies.get(held.model)
@@ -414,7 +417,7 @@
             return plan
         self._expire_queued(now)
         ranked = sorted(
-            self._queue.values(), key=lambda queued: queued.want.measure_rank(now)
+            self._queue.values(), key=lambda queued: queued.request.measure_rank(now)
         )
         for queued in ranked:
             copy = self.copies.get(queued.model)
@@ -431,9 +434,9 @@
     def _expire_queued(self, now: float) -> None:
         """Drop queued adapters that are no longer requested, or too late."""
         for queued in list(self._queue.values()):
-            if now - queued.asked_at > WANT_LIFE:
+            if now - queued.asked_at > LOAD_REQUEST_TTL:
                 del self._queue[queued.model]
-            elif now > queued.want.until and queued.model not in self.copies:
+            elif now > queued.request.until and queued.model not in self.copies:
                 self._deny(queued.model, DenialReason.TOO_LATE, now)
 
     def _deny(self, model: Model, reason: DenialReason, now: float) -> None:
@@ -442,17 +445,19 @@
         self._denials.note(model, now)
         self.denied.append(Denied(model, reason))
 
-    def _delay_or_deny(self, queued: Wanted, reason: DenialReason, now: float) -> None:
+    def _delay_or_deny(
+        self, queued: QueuedLoad, reason: DenialReason, now: float
+    ) -> None:
         """Delay an adapter that waits for running calls to end, or deny it."""
-        if now - queued.want.began_at >= PATIENCE:
+        if now - queued.request.began_at >= LOAD_MAX_WAIT:
             self._deny(queued.model, reason, now)
         else:
-            self._hold_until = now + NO_VICTIM_PAUSE
+            self._hold_until = now + NO_VICTIM_BACKOFF
 
     def _has_no_calls(self, model: Model, now: float) -> bool:
         """Return whether no call is known to run on a copy."""
         last = self._uses.find(model, now).last
-        return not self.usage.is_running(model) and now - last >= FRESH_USE
+        return not self.usage.is_running(model) and now - last >= RECENT_USE_WINDOW
 
     def _is_blocked(self) -> bool:
         """Return whether an order that waits for calls blocks all others."""
@@ -484,7 +489,7 @@
             return Plan(Action.LOAD, model, copy.target or None, True)
         return None
 
-    def _choose_load(self, queued: Wanted, now: float) -> Plan | None:
+    def _choose_load(self, queued: QueuedLoad, now: float) -> Plan | None:
         if queued.model.base not in self.bases or self._has_max_loads():
             return None
         if len(self.copies) < self._slots:
@@ -501,7 +506,7 @@
         self.changes.append((victim, -1))
         return Plan(Action.UNLOAD, victim, None)
 
-    def _order_load(self, queued: Wanted, copy: Copy | None) -> Plan:
+    def _order_load(self, queued: QueuedLoad, copy: Copy | None) -> Plan:
         if copy is not None:
             # A replacement: running calls end before the new version loads.
             copy.state = CopyState.REPLACING
@@ -525,7 +530,7 @@
         outdated = [model for model in idle if self.copies[model].is_outdated]
         return min(outdated or idle, key=worth, default=None)
 
-    def note_result(self, plan: Plan, result: OrderResult, now: float) -> None:
+    def record_result(self, plan: Plan, result: OrderResult, now: float) -> None:
         """Record the outcome of the order or poll in flight."""
         if plan.is_poll:
             self._poll = None
@@ -538,19 +543,19 @@
             is_repeated = not plan.model.adapter and self._is_base_ordered
             self.sequence += 0 if is_repeated else 1
             self._record_accepted(plan, now)
-        elif result is OrderResult.UNKNOWN and plan.tries < MOST_RESENDS:
+        elif result is OrderResult.UNKNOWN and plan.tries < MAX_RESENDS:
             self._resend = plan._replace(tries=plan.tries + 1)
         elif result in (OrderResult.CONFLICT, OrderResult.UNKNOWN):
             # The engine's count differs from the expected one, or it carries
             # out an order that is unknown here. Its report shows which, but
             # is some hundred milliseconds late for an order just accepted.
             self._record_unconfirmed(plan, now)
-            self._request_report(now + DOUBT_PAUSE)
+            self._request_report(now + UNCONFIRMED_BACKOFF)
         else:
             self._record_refused(plan)
-            self._request_report(now + RETRY_PAUSE)
+            self._request_report(now + RETRY_BACKOFF)
 
-    def note_failed_report(self, now: float) -> None:
+    def record_failed_report(self, now: float) -> None:
         """Record that the engine's report could not be read.
 
         Denies the adapters that have waited too long; after a second
@@ -558,14 +563,14 @@
         """
         self._failed_reports += 1
         for model, queued in list(self._queue.items()):
-            has_timed_out = now - queued.want.began_at >= PATIENCE
+            has_timed_out = now - queued.request.began_at >= LOAD_MAX_WAIT
             if has_timed_out or self.is_unreachable:
                 self._deny(model, DenialReason.UNREACHABLE, now)
 
     @property
     def is_unreachable(self) -> bool:
         """Return whether too many consecutive reports could not be read."""
-        return self._failed_reports >= MOST_FAILED_REPORTS
+        return self._failed_reports >= MAX_FAILED_REPORTS
 
     def _request_report(self, backoff_until: float) -> None:
         self._backoff_until = backoff_until
@@ -584,16 +589,16 @@
         elif result is OrderResult.ACCEPTED:
             copy.failed_polls = 0
             self._schedule_poll(copy, now)
-        elif copy.failed_polls < MOST_FAILED_POLLS:
+        elif copy.failed_polls < MAX_FAILED_POLLS:
             # A poll has no effect, answered or not, so it can be repeated.
             copy.failed_polls += 1
             self._schedule_poll(copy, now)
         else:
-            self._request_report(now + DOUBT_PAUSE)
+            self._request_report(now + UNCONFIRMED_BACKOFF)
 
     def _schedule_poll(self, copy: Copy, now: float) -> None:
         copy.poll_at = now + copy.poll_interval
-        copy.poll_interval = min(MOST_POLL, copy.poll_interval * POLL_GROWTH)
+        copy.poll_interval = min(MAX_POLL_INTERVAL, copy.poll_interval * POLL_GROWTH)
 
     def _record_done(self, plan: Plan, now: float) -> None:
         """Record an order that was carried out at once.
@@ -618,7 +623,7 @@
     def _record_accepted(self, plan: Plan, now: float) -> None:
         if not plan.model.adapter:
             self._is_base_ordered = True
-            self._base_poll_at = now + BASE_POLL
+            self._base_poll_at = now + BASE_POLL_INTERVAL
             return
         copy = self.copies.get(plan.model)
         if copy is None:
@@ -634,7 +639,7 @@
     def _record_unconfirmed(self, plan: Plan, now: float) -> None:
         """Count an unconfirmed load as occupying a slot until the report."""
         if not plan.model.adapter:
-            self._base_poll_at = now + BASE_POLL
+            self._base_poll_at = now + BASE_POLL_INTERVAL
         elif plan.action is Action.LOAD and plan.model not in self.copies:
             copy = self.copies[plan.model] = Copy(CopyState.LOADING, 0, now)
             copy.target = plan.version or 0
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -17,7 +17,7 @@
 from roadlift.instance.ingress import Ingress
 from roadlift.instance.limits import EndpointLimits
 from roadlift.instance.standings import Standings
-from roadlift.serving.engine import EngineBook
+from roadlift.serving.engine import EngineRecord
 from roadlift.serving.eras import StoreEras
 from roadlift.serving.lease import Lease
 from roadlift.serving.position import StorePosition
@@ -70,12 +70,12 @@
 
 def _use_more_places() -> None:
     """Load more adapters than an engine has places for."""
-    start = EngineBook.__init__
+    start = EngineRecord.__init__
 
     def widen(self, slots, *rest) -> None:
         start(self, slots + 2, *rest)
 
-    EngineBook.__init__ = widen
+    EngineRecord.__init__ = widen
 
 
 def _ignore_versions() -> None:
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -14,7 +14,7 @@
 from roadlift.relay.upstream import Address
 from roadlift.serving.calls import Model
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import EngineBook
+from roadlift.serving.engine import EngineRecord
 from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 
@@ -248,8 +248,8 @@
 def step_random_wants(context, slots, seed):
     """Drive the book of an engine that carries out each order in 10 ms."""
     draw = random.Random(seed)
-    book = EngineBook(slots, ("base",), LoadTimes(), BaseLoadLimiter(0.0))
-    book.take_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
+    book = EngineRecord(slots, ("base",), LoadTimes(), BaseLoadLimiter(0.0))
+    book.apply_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
     context.slots, context.waits, context.most = slots, [], 0
     wanted, ends = {}, {}
     for step in range(3000):
@@ -260,14 +260,14 @@
             urgency = Urgency(draw.randrange(2), draw.uniform(-0.2, 0.6), draw.random())
             if book.holds(model, 0):
                 _begin_call(book, ends, model, now + draw.expovariate(1.0), now)
-            elif book.want(model, 0, urgency, now):
+            elif book.request_load(model, 0, urgency, now):
                 wanted.setdefault(model, now)
         for model in list(wanted):
-            if book.is_wanted(model):
-                book.want(model, 0, Urgency(0), now)
+            if book.is_load_requested(model):
+                book.request_load(model, 0, Urgency(0), now)
         plan = book.plan(now)
         if plan is not None:
-            book.note_result(plan, OrderResult.DONE, now)
+            book.record_result(plan, OrderResult.DONE, now)
             if plan.action is Action.LOAD and plan.model in wanted:
                 context.waits.append(now - wanted.pop(plan.model))
                 _begin_call(book, ends, plan.model, now + draw.expovariate(1.0), now)
@@ -280,7 +280,7 @@
 
 
 def _begin_call(book, ends, model, end, now):
-    book.note_use(model, 1, now)
+    book.record_use(model, 1, now)
     ends.setdefault(model, []).append(end)
     book.usage.note_running("i", model, len(ends[model]))
 
--- a/tests/steps/engine_steps.py
+++ b/tests/steps/engine_steps.py
@@ -5,12 +5,12 @@
 from roadlift.decisions.urgency import Urgency
 from roadlift.serving.calls import Model
 from roadlift.serving.engine import (
-    EVERYTHING,
-    MOST_FAILED_POLLS,
-    MOST_POLL,
-    MOST_RESENDS,
-    MOST_WANTED,
-    EngineBook,
+    ALL_ADAPTERS,
+    MAX_FAILED_POLLS,
+    MAX_POLL_INTERVAL,
+    MAX_QUEUED_LOADS,
+    MAX_RESENDS,
+    EngineRecord,
 )
 from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.orders import EngineReport, HeldAdapter, OrderResult
@@ -39,8 +39,8 @@
     """Make a record that has read its engine's report."""
     context.times = LoadTimes()
     context.base_loads = BaseLoadLimiter(1.0)
-    context.record = EngineBook(2, (_BASE,), context.times, context.base_loads)
-    context.record.take_report(_report(), 0.0)
+    context.record = EngineRecord(2, (_BASE,), context.times, context.base_loads)
+    context.record.apply_report(_report(), 0.0)
     context.first_changes = list(context.record.changes)
     # The owner has sent that the updates of earlier owners are void.
     context.record.changes.clear()
@@ -51,53 +51,53 @@
     words = did.split()
     results = {result.value: result for result in OrderResult}
     if did in results:
-        record.note_result(context.plan, results[did], at)
+        record.record_result(context.plan, results[did], at)
     elif did == "orders":
         context.plan = record.plan(at)
         assert context.plan is not None
     elif did == "resends fail up to the limit":
-        for _ in range(MOST_RESENDS + 1):
+        for _ in range(MAX_RESENDS + 1):
             context.plan = record.plan(at)
-            record.note_result(context.plan, OrderResult.UNKNOWN, at)
+            record.record_result(context.plan, OrderResult.UNKNOWN, at)
     elif did == "polls fail up to the limit":
-        for number in range(MOST_FAILED_POLLS + 1):
-            context.plan = record.plan(at + number * MOST_POLL)
+        for number in range(MAX_FAILED_POLLS + 1):
+            context.plan = record.plan(at + number * MAX_POLL_INTERVAL)
             assert context.plan.is_poll
             result = (OrderResult.UNKNOWN, OrderResult.CONFLICT)[number % 2]
-            record.note_result(context.plan, result, at + number * MOST_POLL)
+            record.record_result(context.plan, result, at + number * MAX_POLL_INTERVAL)
     elif words[0] == "requests":
         least = int(words[3]) if "at" in words else 0
         priority = 0 if "urgently" in words else 1
         slack = -1.0 if "late" in words else 0.0
-        record.want(_model(words[1]), least, Urgency(priority, slack), at)
+        record.request_load(_model(words[1]), least, Urgency(priority, slack), at)
     elif did == "fails":
-        record.note_failed_report(at)
+        record.record_failed_report(at)
     elif did.startswith("is refused"):
-        assert not record.want(_model(words[-1]), 0, Urgency(1), at)
+        assert not record.request_load(_model(words[-1]), 0, Urgency(1), at)
     elif words[0] == "used":
-        record.note_use(_model(words[1]), 1, at)
+        record.record_use(_model(words[1]), 1, at)
     elif words[0] == "runs":
         record.usage.note_running("i", _model(words[1]), 1)
     elif words[0] == "retires":
         record.retire(_model(words[1]), int(words[3]))
     elif words[0] == "misses":
-        record.note_missing(_model(words[1]))
+        record.record_missing(_model(words[1]))
     elif did == "holds a and b":
-        record.take_report(_report(held=("a", "b")), at)
+        record.apply_report(_report(held=("a", "b")), at)
     elif did == "holds b with a arriving":
-        record.take_report(_report(held=("b",), arriving=("a",)), at)
+        record.apply_report(_report(held=("b",), arriving=("a",)), at)
     elif did == "reports nothing":
-        record.take_report(_report(), at)
+        record.apply_report(_report(), at)
     elif did == "reports a arriving":
-        record.take_report(_report(arriving=("a",)), at)
+        record.apply_report(_report(arriving=("a",)), at)
     elif did == "a report is due":
-        assert record.take_peek(at)
+        assert record.start_load_check(at)
     elif did == "shows a and b":
-        record.note_arrivals(_report(held=("a", "b")), at)
+        record.record_loaded(_report(held=("a", "b")), at)
     elif did == "another engine loads its base":
         assert context.base_loads.acquire(at)
     elif did == "reports no base":
-        record.take_report(_report(bases=()), at)
+        record.apply_report(_report(bases=()), at)
     else:
         assert did == "nothing", did
 
@@ -163,8 +163,8 @@
 @then("the first report voids all earlier updates, once")
 def step_voided(context):
     """Check the change by the first report, and that a second has none."""
-    assert context.first_changes == [(EVERYTHING, -1)], context.first_changes
-    context.record.take_report(_report(), 1.0)
+    assert context.first_changes == [(ALL_ADAPTERS, -1)], context.first_changes
+    context.record.apply_report(_report(), 1.0)
     assert context.record.changes == [], context.record.changes
 
 
@@ -184,21 +184,21 @@
 @when("{count:d} adapters are requested")
 def step_many(context, count):
     """Request as many as the queue may have."""
-    assert count == MOST_WANTED
+    assert count == MAX_QUEUED_LOADS
     for index in range(count):
-        assert context.record.want(_model(f"x{index}"), 0, Urgency(1), 0.0)
+        assert context.record.request_load(_model(f"x{index}"), 0, Urgency(1), 0.0)
 
 
 @then("another one is refused")
 def step_refused(context):
     """Check the limit of the queue."""
-    assert not context.record.want(_model("y"), 0, Urgency(0), 0.0)
+    assert not context.record.request_load(_model("y"), 0, Urgency(0), 0.0)
 
 
 @then("a more urgent request for a queued adapter is accepted")
 def step_urgent(context):
     """Check that the request of a queued adapter is renewed."""
-    assert context.record.want(_model("x5"), 0, Urgency(0), 0.0)
+    assert context.record.request_load(_model("x5"), 0, Urgency(0), 0.0)
     assert context.record.plan(0.0).model == _model("x5")
 
 
@@ -232,12 +232,12 @@
 @then('at {at:g} a report {is_read}, and the changes are "{changes}"')
 def step_peek(context, at, is_read, changes):
     """Check whether a report is due, and the changes for subscribers."""
-    assert context.record.take_peek(at) == (is_read == "is read"), is_read
+    assert context.record.start_load_check(at) == (is_read == "is read"), is_read
     step_changes(context, changes)
 
 
 @then('at {at:g} a report {is_read}, and the changes are ""')
 def step_peek_no_changes(context, at, is_read):
     """Check whether a report is due, and that there are no changes."""
-    assert context.record.take_peek(at) == (is_read == "is read"), is_read
+    assert context.record.start_load_check(at) == (is_read == "is read"), is_read
     assert context.record.changes == [], context.record.changes
--- a/tests/steps/restart_steps.py
+++ b/tests/steps/restart_steps.py
@@ -69,7 +69,7 @@
                 found = {
                     model.adapter
                     for model, copy in engine.book.copies.items()
-                    if copy.state is CopyState.HELD and engine.book.is_read
+                    if copy.state is CopyState.HELD and engine.book.has_report
                 }
                 is_old = (
                     engine.endpoint.started_at != runners[engine.endpoint.name].born
