--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -21,7 +21,7 @@
 from roadlift.instance.tablereader import TableReader
 from roadlift.serving.crashsigns import encode_row, read_key, read_row
 from roadlift.serving.interfaces import Rows, RowWrite, StoredRow, StoreTime
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
 TABLE = "roadlift_crashes"
 # Seconds that a poll waits at the store. Rows change seldom, and one that
@@ -131,7 +131,7 @@
             TABLE,
             identity.hex(),
             self._encode(identity, weights) if weights else None,
-            known.position if known else NOWHERE,
+            known.position if known else ZERO_POSITION,
         )
         self._store.write(
             row,
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -21,11 +21,11 @@
     Endpoint,
     decode_endpoint,
 )
-from roadlift.serving.eras import StoreReturn
+from roadlift.serving.eras import StoreRestore
 from roadlift.serving.interfaces import Rows, StoredRow
 from roadlift.serving.messages import ListNews, OperatorNews
 from roadlift.serving.operatorrows import OperatorRows, unpack_row
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 from roadlift.serving.routes import Configuration, RouteTable
 
 # Seconds that a poll waits at the store. A path can fall silent without a
@@ -81,12 +81,12 @@
         self._relayed_until = 0.0
         self._heard_until = 0.0
         self._members = 1
-        self._operator_target = NOWHERE
+        self._operator_target = ZERO_POSITION
         self._grace_until = 0.0
         self._settled_at = 0.0
         self._era: int | None = None
-        self._configured_at = NOWHERE
-        self.operator_position = NOWHERE
+        self._configured_at = ZERO_POSITION
+        self.operator_position = ZERO_POSITION
         self.freshness = Freshness()
         self.keys: KeyTable | None = None
         self.operator_rows = OperatorRows()
@@ -94,7 +94,7 @@
         self.on_version: list[Callable[[Model, int], None]] = []
         self.on_directory: list[Callable[[], None]] = []
         self.on_operator: list[Callable[[StorePosition], None]] = []
-        kernel.get(Platform).store.eras.on_return.append(self._note_store_return)
+        kernel.get(Platform).store.eras.on_restore.append(self._note_store_return)
 
     @property
     def is_ready(self) -> bool:
@@ -252,7 +252,7 @@
         """Return the declared version of an adapter, or 0."""
         return self.versions.get(model, 0)
 
-    def _note_store_return(self, told: StoreReturn) -> None:
+    def _note_store_return(self, told: StoreRestore) -> None:
         """Act on an answer of the store that tells of a newer era."""
         self._note_era(told.before, told.source)
         self._note_era(told.era, told.source)
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -9,7 +9,7 @@
 from roadlift.daemon.transport import Transport
 from roadlift.instance.measures import Measures
 from roadlift.instance.platform import Platform
-from roadlift.serving.eras import StoreReturn
+from roadlift.serving.eras import StoreRestore
 from roadlift.serving.interfaces import Rows, RowWrite, StoreTime
 from roadlift.serving.lease import Lease, LeaseRecord, Step
 from roadlift.serving.messages import HandOver
@@ -93,7 +93,7 @@
         self._timer = None
         self.on_change: list[Callable[[str], None]] = []
         self.on_hand_back: list[Callable[[str], None]] = []
-        self._store.eras.on_return.append(self._note_return)
+        self._store.eras.on_restore.append(self._note_return)
         transport = kernel.get(Transport)
         transport.subscribe((HandOver,), self._take_hand_over)
 
@@ -154,7 +154,7 @@
             return
         if is_ready:
             self._heard_at[zone] = self._kernel.clock.now()
-            self._leases[zone].note_alive()
+            self._leases[zone].record_holder_alive()
         else:
             self._heard_at.pop(zone, None)
 
@@ -188,7 +188,7 @@
             return
         log.event("lease_offered", zone=message.zone)
         self._hurried_until[message.zone] = self._kernel.clock.now() + HURRY_PERIOD
-        lease.hurry()
+        lease.skip_extra_wait()
         self._tick()
 
     def _log_release(self, error: RoadliftError) -> None:
@@ -263,7 +263,7 @@
 
         def succeed(position: StorePosition, time: StoreTime) -> None:
             """Learn that the write took effect."""
-            lease.note_time(time)
+            lease.record_time(time)
             self._note_written(zone, position, record)
 
         self._store.write(row, succeed, lambda error: self._note_failed(zone, error))
@@ -273,16 +273,16 @@
     ) -> None:
         lease = self._leases[zone]
         was_held = lease.is_held
-        lease.note_written(position, record, self._kernel.clock.now())
+        lease.record_written(position, record, self._kernel.clock.now())
         if lease.is_held and not was_held:
             self._tell_gain(zone, lease)
 
-    def _note_return(self, told: StoreReturn) -> None:
+    def _note_return(self, told: StoreRestore) -> None:
         """Read the rows of leases anew: their terms may be in none of them."""
         self._next_read = 0.0
         for zone, lease in self._leases.items():
             was_held = lease.is_held
-            lease.note_era(told.era, self._kernel.clock.now())
+            lease.record_era(told.era, self._kernel.clock.now())
             self._tell_loss(zone, lease, was_held, "the store came back older")
             if lease.is_held:
                 log.event("lease_unwritten", zone=zone, fence=lease.fence)
@@ -291,9 +291,9 @@
         lease = self._leases[zone]
         was_held = lease.is_held
         if isinstance(error, VersionConflict):
-            lease.note_lost()
+            lease.record_conflict()
         else:
-            lease.note_doubt()
+            lease.record_unconfirmed()
         self._tell_loss(zone, lease, was_held, str(error))
 
     def _take_rows(self, rows: Rows) -> None:
@@ -308,11 +308,11 @@
             except MalformedMessage as error:
                 log.error("The lease of %s can't be read: %s.", zone, error)
                 record = LeaseRecord("", "")
-            lease.note_time(rows.time)
-            lease.note_era(rows.position.era, now)
+            lease.record_time(rows.time)
+            lease.record_era(rows.position.era, now)
             was_held, before = lease.is_held, lease.holder
             absent = rows.position._replace(version=0)
-            lease.note_read(row.position if row else absent, record, now)
+            lease.record_read(row.position if row else absent, record, now)
             if lease.is_held and not was_held:
                 self._tell_gain(zone, lease)
             self._tell_loss(zone, lease, was_held, "another instance took it")
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -22,7 +22,7 @@
     Snapshot,
 )
 from roadlift.serving.newslog import unpack_changes
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 from roadlift.serving.telling import WholeTelling
 
 BEAT_PERIOD = 0.25  # Seconds between heartbeats that ask for a reply.
@@ -197,7 +197,7 @@
         """Return the newest row known, or -1 while all are being read."""
         position = self._follower.operator_position
         is_reading = self._kernel.clock.now() - self._started_at < OWN_READ
-        return -1 if position == NOWHERE and is_reading else position.pack()
+        return -1 if position == ZERO_POSITION and is_reading else position.pack()
 
     # What aggregators tell.
 
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -7,9 +7,9 @@
 from roadlift.core.logs import PartLog
 from roadlift.instance.measures import Measures
 from roadlift.instance.platform import Platform
-from roadlift.serving.eras import StoreReturn
+from roadlift.serving.eras import StoreRestore
 from roadlift.serving.interfaces import Rows
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
 REST_LOOK = 0.2  # Seconds between looks whether an instance has to read again.
 RETRY_PAUSE = 0.2  # Seconds behind a read that failed.
@@ -59,7 +59,7 @@
         self._round = 0
         self.answered_at = kernel.clock.now()
         self.is_reachable = True
-        self._store.eras.on_return.append(self._note_return)
+        self._store.eras.on_restore.append(self._note_return)
 
     def start(self) -> None:
         """Read the table."""
@@ -69,7 +69,7 @@
     def close(self) -> None:
         """Read no more."""
         self._is_open = False
-        self._store.eras.on_return.remove(self._note_return)
+        self._store.eras.on_restore.remove(self._note_return)
 
     def restart(self) -> None:
         """Send the read under way anew, and ignore its answer."""
@@ -80,14 +80,14 @@
     @property
     def position(self) -> StorePosition:
         """Return the store's position as of which the table is known."""
-        return self._position or NOWHERE
+        return self._position or ZERO_POSITION
 
     def skip_to(self, position: StorePosition) -> None:
         """Learn from another instance that nothing is new up to a position."""
         if self._position is not None:
             self._position = max(self._position, position)
 
-    def _note_return(self, told: StoreReturn) -> None:
+    def _note_return(self, told: StoreRestore) -> None:
         """Read anew: what is under way is of an era that is over."""
         if self._is_started:
             self.restart()
--- a/roadlift/organisations/freshness.py
+++ b/roadlift/organisations/freshness.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
 
 class RelayedState(NamedTuple):
@@ -28,7 +28,7 @@
     """As of when all rows are known here, in seconds of this process."""
 
     def __init__(self) -> None:
-        self._position = NOWHERE
+        self._position = ZERO_POSITION
         self._settled_at = float("-inf")
         self._lacking: RelayedState | None = None
         self.known_at = float("-inf")
--- a/roadlift/serving/eras.py
+++ b/roadlift/serving/eras.py
@@ -12,7 +12,7 @@
 from roadlift.serving.position import FIRST_ERA, StorePosition
 
 
-class StoreReturn(NamedTuple):
+class StoreRestore(NamedTuple):
     """A restore of the store from an older copy.
 
     ``before`` and ``era`` are its eras, ``source`` the call that showed it.
@@ -26,24 +26,24 @@
 class StoreEras:
     """The newest era seen in an answer of the store.
 
-    The listeners in ``on_return`` are called once for each restore that is
+    The listeners in ``on_restore`` are called once for each restore that is
     detected, before the answer that showed it is delivered.
     """
 
     def __init__(self) -> None:
         self._is_known = False
         self.newest = FIRST_ERA
-        self.on_return: list[Callable[[StoreReturn], None]] = []
+        self.on_restore: list[Callable[[StoreRestore], None]] = []
 
-    def note(self, era: int, source: str) -> bool:
+    def record_era(self, era: int, source: str) -> bool:
         """Record the era of an answer; return whether it is the newest."""
         if not self._is_known:
             self._is_known = True
             self.newest = era
         if era > self.newest:
-            found = StoreReturn(self.newest, era, source)
+            found = StoreRestore(self.newest, era, source)
             self.newest = era
-            for listener in list(self.on_return):
+            for listener in list(self.on_restore):
                 listener(found)
         return era == self.newest
 
--- a/roadlift/serving/lease.py
+++ b/roadlift/serving/lease.py
@@ -44,21 +44,21 @@
 
 from roadlift.core.errors import MalformedMessage
 from roadlift.serving.interfaces import StoreTime
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
-RENEW_PERIOD = 1.0  # Seconds; each renewal is a write, which is charged for.
+RENEW_INTERVAL = 1.0  # Seconds; each renewal is a write, which is charged for.
 # Seconds of the lease that must remain for an order: a send that was checked
 # leaves the process within this time unless the process is paused.
 SEND_MARGIN = 0.15
 # Seconds that an order which was sent in time may be in transit: the delay
 # that a retransmission can cause.
-TRANSIT = 0.5
-MOST_FORMER = 8  # Previous holders that a row lists at most.
+MAX_TRANSIT_TIME = 0.5
+MAX_FORMER = 8  # Previous holders that a row lists at most.
 NO_ERA = -1  # Of a record by the previous release, which has none.
 # Separates the process from the eras in one field of a row: the previous
 # release reads exactly six fields.
 ERA_MARK = "@"
-ERA_GAP = "."  # Separates the first era from the era of the write.
+ERA_SEPARATOR = "."  # Separates the first era from the era of the write.
 
 
 class LeaseRecord(NamedTuple):
@@ -86,7 +86,7 @@
         """Return the row's value as bytes."""
         process = self.process
         if self.era != NO_ERA:
-            process = f"{process}{ERA_MARK}{self.first_era}{ERA_GAP}{self.era}"
+            process = f"{process}{ERA_MARK}{self.first_era}{ERA_SEPARATOR}{self.era}"
         *fields, _, _ = self._replace(process=process)
         return msgpack.packb(fields)
 
@@ -111,7 +111,7 @@
 def _split_era(record: LeaseRecord) -> LeaseRecord:
     """Return a record with the eras split off its process field."""
     process, _, eras = record.process.rpartition(ERA_MARK)
-    first, _, era = eras.partition(ERA_GAP)
+    first, _, era = eras.partition(ERA_SEPARATOR)
     if not process or not first.isdecimal() or not era.isdecimal():
         return record
     return record._replace(process=process, era=int(era), first_era=int(first))
@@ -146,10 +146,10 @@
         self._process = process
         self._address = address
         self._lease_time = lease_time
-        self._quiet = quiet + TRANSIT
+        self._quiet = quiet + MAX_TRANSIT_TIME
         self._extra_wait = extra_wait
         self._planned_orders_from = 0.0
-        self._position = NOWHERE
+        self._position = ZERO_POSITION
         self._era = NO_ERA
         self._first_era = NO_ERA
         self._was_restored = False
@@ -214,7 +214,7 @@
             return self._was_restored
         return record.era < self._era
 
-    def note_era(self, era: int, now: float) -> None:
+    def record_era(self, era: int, now: float) -> None:
         """Record the store's era; the known row is outdated if it is newer.
 
         A holder reads the row and writes its term again while it is valid.
@@ -252,7 +252,7 @@
         if self._in_flight:
             return Step.NOTHING
         if self.is_held and self.is_read:
-            is_due = now - self._renewed_at >= RENEW_PERIOD
+            is_due = now - self._renewed_at >= RENEW_INTERVAL
             return Step.RENEW if is_due else Step.NOTHING
         if not self.is_read:
             return Step.READ
@@ -319,8 +319,10 @@
         if record.address == self._address:
             # The same instance held it before, and may have been in its quiet
             # time.
-            return max(TRANSIT, self._measure_time_until(record.orders_from, now))
-        quiet = TRANSIT - max(0.0, self._measure_time_since_expiry(now))
+            return max(
+                MAX_TRANSIT_TIME, self._measure_time_until(record.orders_from, now)
+            )
+        quiet = MAX_TRANSIT_TIME - max(0.0, self._measure_time_since_expiry(now))
         for address, ended_at in record.former:
             if address == self._address:
                 own_quiet = self._measure_time_until(ended_at + self._quiet, now)
@@ -351,17 +353,17 @@
             for address, ended_at in former.items()
             if earliest - ended_at < self._quiet
         ]
-        return sorted(recent, key=lambda holder: holder[1])[-MOST_FORMER:]
+        return sorted(recent, key=lambda holder: holder[1])[-MAX_FORMER:]
 
-    def note_time(self, time: StoreTime) -> None:
+    def record_time(self, time: StoreTime) -> None:
         """Record a reading of the store's clock."""
         self._time = time
 
-    def hurry(self) -> None:
+    def skip_extra_wait(self) -> None:
         """Wait no longer for other candidates: the lease is handed over."""
         self._extra_wait = 0.0
 
-    def note_alive(self) -> None:
+    def record_holder_alive(self) -> None:
         """Record that the holder is alive, so the known row may be outdated.
 
         Otherwise the row's age would pass for the holder's expiry, and the
@@ -371,7 +373,7 @@
         if not self.is_held and not self._in_flight:
             self.is_read = False
 
-    def note_written(
+    def record_written(
         self, position: StorePosition, record: LeaseRecord, now: float
     ) -> None:
         """Record that this process's write took effect.
@@ -385,7 +387,7 @@
             self._begin_term(position, now)
         self._record_own_row(position, record, self._sent_at)
 
-    def note_lost(self) -> None:
+    def record_conflict(self) -> None:
         """Record that another process's write came first; reread the row.
 
         The outcome of a write from before a restore is ignored.
@@ -395,7 +397,7 @@
         self._in_flight = False
         self._drop()
 
-    def note_doubt(self) -> None:
+    def record_unconfirmed(self) -> None:
         """Record that the outcome of the write is unknown.
 
         A holder continues until its lease ends; the row is read to find out.
@@ -410,7 +412,7 @@
         if self._unconfirmed_since is None:
             self._unconfirmed_since = self._sent_at
 
-    def note_read(
+    def record_read(
         self, position: StorePosition, record: LeaseRecord | None, now: float
     ) -> None:
         """Record the row as it was read, in the known era.
--- a/roadlift/serving/position.py
+++ b/roadlift/serving/position.py
@@ -36,4 +36,4 @@
 
 
 # The position before the first write; no row has it.
-NOWHERE = StorePosition(FIRST_ERA, 0)
+ZERO_POSITION = StorePosition(FIRST_ERA, 0)
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -126,7 +126,7 @@
 
 def _ignore_eras() -> None:
     """Compare versions of the store, whatever it lost in between."""
-    StoreEras.note = lambda self, era, source: True
+    StoreEras.record_era = lambda self, era, source: True
     StoreEras.is_current = lambda self, position: True
     StorePosition.__new__ = lambda kind, era, version: tuple.__new__(kind, (0, version))
 
--- a/tests/steps/barred_steps.py
+++ b/tests/steps/barred_steps.py
@@ -17,7 +17,7 @@
 from roadlift.management.rows import BlockingRows
 from roadlift.serving.crashsigns import encode_row
 from roadlift.serving.interfaces import RowWrite
-from roadlift.serving.position import NOWHERE
+from roadlift.serving.position import ZERO_POSITION
 
 _IDENTITY = "0123456789abcdef01234567"
 _ENVIRONMENT = {
@@ -89,7 +89,7 @@
     context.site = site
     rows = BlockingRows(str(site.address))
     value = encode_row(1.0, {"e1": 3, "e2": 3})
-    rows.write(RowWrite(TABLE, _IDENTITY, value, NOWHERE))
+    rows.write(RowWrite(TABLE, _IDENTITY, value, ZERO_POSITION))
     rows.close()
 
 
--- a/tests/steps/lease_steps.py
+++ b/tests/steps/lease_steps.py
@@ -53,29 +53,33 @@
     if did == "knows nothing":
         return
     if did == "reads nothing":
-        lease.note_read(_position(context, name, 0), None, at)
+        lease.record_read(_position(context, name, 0), None, at)
     elif read:
         found = _make_record(read)
         # The store's clock equals the test's clock. It was read half a second
         # before the answer: the transit time of the answer.
-        lease.note_time(StoreTime(at - 0.5, at - 0.6, at))
+        lease.record_time(StoreTime(at - 0.5, at - 0.6, at))
         context.versions[name] = int(read[2])
-        lease.note_read(_position(context, name, read[2]), found, at)
+        lease.record_read(_position(context, name, read[2]), found, at)
     elif did.startswith("sees era "):
         context.eras[name] = int(did.rpartition(" ")[2])
-        lease.note_era(context.eras[name], at)
+        lease.record_era(context.eras[name], at)
     elif did == "sends":
         context.sent = lease.send(at)
     elif did.startswith("is written as "):
         context.versions[name] = int(did.rpartition(" ")[2])
-        lease.note_written(_position(context, name, context.versions[name]), record, at)
+        lease.record_written(
+            _position(context, name, context.versions[name]), record, at
+        )
     elif did == "is written":
         context.versions[name] += 1
-        lease.note_written(_position(context, name, context.versions[name]), record, at)
+        lease.record_written(
+            _position(context, name, context.versions[name]), record, at
+        )
     elif did == "is unconfirmed":
-        lease.note_doubt()
+        lease.record_unconfirmed()
     elif did == "conflicts":
-        lease.note_lost()
+        lease.record_conflict()
     elif did == "releases":
         assert lease.release(at).is_released
     else:
--- a/tests/steps/organisation_steps.py
+++ b/tests/steps/organisation_steps.py
@@ -11,7 +11,7 @@
 from roadlift.organisations.keys import KeyTable, digest_key
 from roadlift.relay.upstream import Answer
 from roadlift.serving.interfaces import StoredRow, adapters
-from roadlift.serving.position import NOWHERE
+from roadlift.serving.position import ZERO_POSITION
 from tests.support.configuration import (
     SERVICES,
     describe_configuration,
@@ -64,7 +64,7 @@
 def step_conceal(context, change):
     """Hide the keys of a configuration, as before it is passed on."""
     content = describe_configuration(3, [], SERVICES, 2) | make_tenants(change)
-    context.plain = StoredRow("config", json.dumps(content).encode(), NOWHERE)
+    context.plain = StoredRow("config", json.dumps(content).encode(), ZERO_POSITION)
     context.concealed = _ADAPTER.state.conceal(context.plain)
 
 
@@ -150,7 +150,9 @@
     found = [
         _ADAPTER.state.read_configuration(
             StoredRow(
-                "config", json.dumps(_describe_keys(names, count)).encode(), NOWHERE
+                "config",
+                json.dumps(_describe_keys(names, count)).encode(),
+                ZERO_POSITION,
             )
         )
     ]
@@ -267,7 +269,7 @@
 def step_no_key(context):
     """Look for the keys in all that instances passed on of the rows."""
     for entry in context.entries.entries.values():
-        rows = entry.kernel.get(Follower).operator_rows.list_since(NOWHERE)
+        rows = entry.kernel.get(Follower).operator_rows.list_since(ZERO_POSITION)
         assert rows
         for row in rows:
             value = _unpack(row)
--- a/tests/steps/position_steps.py
+++ b/tests/steps/position_steps.py
@@ -39,8 +39,8 @@
     """Record them in order."""
     context.restores = []
     known = StoreEras()
-    known.on_return.append(context.restores.append)
-    context.verdicts = [known.note(int(era), "op") for era in eras.split(", ")]
+    known.on_restore.append(context.restores.append)
+    context.verdicts = [known.record_era(int(era), "op") for era in eras.split(", ")]
 
 
 @then("they are {verdicts}")
@@ -64,8 +64,8 @@
     context.add_cleanup(context.entries.close)
     entry = context.entries.start("a", "z1")
     store = adapters.get("platform").open_store(entry.kernel)
-    store.eras.note(1, "op")
-    store.eras.note(2, "op")
+    store.eras.record_era(1, "op")
+    store.eras.record_era(2, "op")
     context.failures = []
     row = RowWrite("t", "k", b"v", StorePosition(1, 5))
     store.write(row, lambda position, time: None, context.failures.append)
