--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -444,7 +444,7 @@
 
     def receive_head(self, status: int, headers: dict[str, str]) -> None:
         """Judge the head, and pass that of a stream on."""
-        self._placing.health.note_answer(self._endpoint.id)
+        self._placing.health.record_answer(self._endpoint.id)
         self._verdict = self._format.judge(status, headers)
         has_run = self._verdict is Verdict.SUCCEEDED
         self._gate.note_head(self._endpoint, status, headers, has_run)
@@ -499,7 +499,7 @@
     def _note_served(self, endpoint: Endpoint) -> None:
         now = self._kernel.clock.now()
         self._ledger.clear(self._identify)
-        self._placing.health.note_success(endpoint.id, now)
+        self._placing.health.record_success(endpoint.id, now)
         if self._frames is None:
             self._placing.paces.note(endpoint.id, now - self._sent_at, now)
         elif self._progress.writes > 1:
@@ -578,7 +578,7 @@
         endpoint = self._endpoint
         if isinstance(error, EndpointUnreachable):
             self._excluded.add(endpoint.id)
-            self._placing.health.note_absence(endpoint.id, now)
+            self._placing.health.record_connect_failure(endpoint.id, now)
         elif is_excluded:
             self._excluded.add(endpoint.id)
             self._judge_failure(endpoint, error, now)
@@ -619,7 +619,7 @@
         """Pass an endpoint over that fails, but for what it says itself."""
         if self._gate.is_resting(endpoint):
             return
-        if self._placing.health.note_failure(endpoint.id, now):
+        if self._placing.health.record_failure(endpoint.id, now):
             self._ingress.measures.count("roadlift_ejections", self._service)
             log.event("endpoint_ejected", endpoint=endpoint.id, error=str(error))
 
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -219,7 +219,7 @@
         now = self._kernel.clock.now()
         silent = self.silence.find_silent(now)
         for endpoint in silent:
-            self.health.note_absence(endpoint, now)
+            self.health.record_connect_failure(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
         # All are known to be silent before a call chooses another engine.
         for endpoint in silent:
--- a/roadlift/serving/health.py
+++ b/roadlift/serving/health.py
@@ -3,26 +3,26 @@
 import math
 from collections.abc import Collection
 
-FAILURES = 3  # Consecutive failures at which an endpoint is ejected.
+MAX_CONSECUTIVE_FAILURES = 3  # At this number an endpoint is ejected.
 # Fraction of failed calls at which an endpoint is ejected as well, once
-# LEAST_CALLS calls are remembered. Healthy endpoints too fail some calls of a
-# kind.
-FAILED_PART = 0.3
-LEAST_CALLS = 6.0
+# ``MIN_CALLS`` calls are remembered. Healthy endpoints fail some calls of one
+# kind too.
+FAILED_FRACTION = 0.3
+MIN_CALLS = 6.0
 HALF_LIFE = 2.0  # Seconds in which a remembered call loses half its weight.
-FIRST_EJECTION = 1.0  # Seconds; doubled with each consecutive ejection.
-MOST_EJECTION = 8.0  # Seconds.
+INITIAL_EJECTION_TIME = 1.0  # Seconds; doubled with each consecutive ejection.
+MAX_EJECTION_TIME = 8.0  # Seconds.
 # Fraction of a service's endpoints that may be ejected at the same time.
-MOST_SHARE = 0.5
+MAX_EJECTED_FRACTION = 0.5
 # Seconds that an endpoint is avoided after a connection to it failed, at first
 # and at most; doubled with each consecutive failure.
-FIRST_ABSENCE = 0.5
-MOST_ABSENCE = 4.0
+INITIAL_UNREACHABLE_TIME = 0.5
+MAX_UNREACHABLE_TIME = 4.0
 # Seconds in which a single call tests whether an endpoint is reachable again.
-TRIAL = 0.5
+TRIAL_TIMEOUT = 0.5
 
 
-class Record:
+class EndpointHealth:
     """The health of one endpoint."""
 
     __slots__ = (
@@ -48,7 +48,7 @@
         self.connect_failures = 0
         self.unreachable_until = 0.0
 
-    def note_outcome(self, is_failure: bool, now: float) -> None:
+    def record_outcome(self, is_failure: bool, now: float) -> None:
         """Count a call that ended; the weight of older ones decays."""
         decay = math.exp2((self.updated_at - now) / HALF_LIFE)
         self.updated_at = now
@@ -58,9 +58,9 @@
 
     def is_failing(self) -> bool:
         """Return whether too many calls failed."""
-        limit = self.calls * FAILED_PART
-        is_over = self.calls >= LEAST_CALLS and self.failed_calls >= limit
-        return is_over or self.failures >= FAILURES
+        limit = self.calls * FAILED_FRACTION
+        is_over = self.calls >= MIN_CALLS and self.failed_calls >= limit
+        return is_over or self.failures >= MAX_CONSECUTIVE_FAILURES
 
     def forget_outcomes(self) -> None:
         """Reset the failure rate."""
@@ -71,7 +71,7 @@
     """The running calls and recent outcomes, by endpoint."""
 
     def __init__(self) -> None:
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, EndpointHealth] = {}
 
     def count_running(self, endpoint: str) -> int:
         """Return the number of this process's running calls at an endpoint."""
@@ -80,11 +80,11 @@
 
     def begin(self, endpoint: str, now: float) -> None:
         """Count a call as running."""
-        record = self._records.setdefault(endpoint, Record())
+        record = self._records.setdefault(endpoint, EndpointHealth())
         record.running += 1
         if record.connect_failures:
             # Other calls avoid the endpoint until the outcome of this one.
-            record.unreachable_until = now + TRIAL
+            record.unreachable_until = now + TRIAL_TIMEOUT
 
     def end(self, endpoint: str) -> None:
         """Count a call as ended."""
@@ -92,34 +92,36 @@
         if record is not None and record.running:
             record.running -= 1
 
-    def note_success(self, endpoint: str, now: float) -> None:
+    def record_success(self, endpoint: str, now: float) -> None:
         """Record that a call succeeded."""
-        record = self._records.setdefault(endpoint, Record())
-        record.note_outcome(False, now)
-        if record.calls >= LEAST_CALLS and not record.is_failing():
+        record = self._records.setdefault(endpoint, EndpointHealth())
+        record.record_outcome(False, now)
+        if record.calls >= MIN_CALLS and not record.is_failing():
             record.ejections = 0
 
-    def note_answer(self, endpoint: str) -> None:
+    def record_answer(self, endpoint: str) -> None:
         """Record that an endpoint answered, whatever the outcome."""
-        record = self._records.setdefault(endpoint, Record())
+        record = self._records.setdefault(endpoint, EndpointHealth())
         record.connect_failures = 0
         record.unreachable_until = 0.0
 
-    def note_absence(self, endpoint: str, now: float) -> None:
+    def record_connect_failure(self, endpoint: str, now: float) -> None:
         """Record that a connection to an endpoint failed."""
-        record = self._records.setdefault(endpoint, Record())
-        seconds = min(MOST_ABSENCE, FIRST_ABSENCE * 2**record.connect_failures)
+        record = self._records.setdefault(endpoint, EndpointHealth())
+        seconds = min(
+            MAX_UNREACHABLE_TIME, INITIAL_UNREACHABLE_TIME * 2**record.connect_failures
+        )
         record.connect_failures += 1
         record.unreachable_until = now + seconds
 
-    def note_failure(self, endpoint: str, now: float) -> bool:
+    def record_failure(self, endpoint: str, now: float) -> bool:
         """Record that a call failed; return whether that ejected it."""
-        record = self._records.setdefault(endpoint, Record())
-        record.note_outcome(True, now)
+        record = self._records.setdefault(endpoint, EndpointHealth())
+        record.record_outcome(True, now)
         if not record.is_failing() or now < record.ejected_until:
             return False
         record.forget_outcomes()
-        seconds = min(MOST_EJECTION, FIRST_EJECTION * 2**record.ejections)
+        seconds = min(MAX_EJECTION_TIME, INITIAL_EJECTION_TIME * 2**record.ejections)
         record.ejections += 1
         record.ejected_until = now + seconds
         return True
@@ -132,9 +134,9 @@
     def list_usable(self, endpoints: Collection, now: float) -> list:
         """Return the endpoints that are reachable and not ejected.
 
-        If more than MOST_SHARE of the reachable ones are ejected, the cause
-        is not in the endpoints alone, and all reachable ones are used.
-        Unreachable ones are used only if there is no other.
+        If more than ``MAX_EJECTED_FRACTION`` of the reachable ones are
+        ejected, the cause is not in the endpoints alone, and all reachable
+        ones are used. Unreachable ones are used only if there is no other.
         """
         reachable = [
             endpoint
@@ -144,7 +146,7 @@
         usable = [
             endpoint for endpoint in reachable if not self.is_ejected(endpoint.id, now)
         ]
-        if len(usable) < len(reachable) * (1.0 - MOST_SHARE):
+        if len(usable) < len(reachable) * (1.0 - MAX_EJECTED_FRACTION):
             usable = reachable
         return usable or list(endpoints)
 
--- a/tests/steps/serving_steps.py
+++ b/tests/steps/serving_steps.py
@@ -132,18 +132,18 @@
         at, name, did = step.split(" ", 2)
         words = did.split()
         if did == "can't be reached":
-            context.health.note_absence(name, float(at))
+            context.health.record_connect_failure(name, float(at))
         elif did == "is tried":
             context.health.begin(name, float(at))
         elif did == "answers":
-            context.health.note_answer(name)
+            context.health.record_answer(name)
         elif words[0] == "succeeds":
             for _ in range(int((words[1:] or "1")[0])):
-                context.health.note_success(name, float(at))
+                context.health.record_success(name, float(at))
         else:
             assert words[0] == "fails", did
             for _ in range(int(words[1])):
-                context.health.note_failure(name, float(at))
+                context.health.record_failure(name, float(at))
 
 
 @then('at {at:g} the usable endpoints are "{names}"')
