--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -32,9 +32,15 @@
     OperatorNews,
     Snapshot,
 )
-from roadlift.serving.newslog import CatchUp, Change, NewsLog, Resends, pack_changes
 from roadlift.serving.operatorrows import PackedRow
 from roadlift.serving.position import StorePosition
+from roadlift.serving.updatelog import (
+    CatchUp,
+    Change,
+    ResendLimiter,
+    UpdateLog,
+    pack_changes,
+)
 from roadlift.serving.usage import Completeness
 
 # Seconds for each subscriber between two digests, and at most: each goes to
@@ -79,7 +85,7 @@
         self._subscription = kernel.get(Subscription)
         process = f"{kernel.settings.peer} {kernel.stamp}"
         self._stream = zlib.crc32(process.encode()) or 1
-        self._news = NewsLog()
+        self._news = UpdateLog()
         self._changes: list[Change] = []
         self._told = ToldLoads()
         self._digest_timer = None
@@ -89,8 +95,8 @@
         self._list_serial = 1
         self._listed: dict[str, Endpoint] = {}
         self._kept: set[str] = set()
-        self._list_resends = Resends()
-        self._operator_resends = Resends()
+        self._list_resends = ResendLimiter()
+        self._operator_resends = ResendLimiter()
         self._askers: dict[tuple[str, Model], dict[str, float]] = {}
         self._timer = None
         self._subscription.count_members = lambda: len(self._subscribers)
@@ -315,7 +321,7 @@
         is_known = message.stream == self._stream
         if is_known and message.list_serial == self._list_serial:
             self._list_resends.forget(message.address)
-        elif self._list_resends.take(message.address, now):
+        elif self._list_resends.acquire(message.address, now):
             news = self._make_list_news(self._listed.values(), [], True)
             self._transport.send(message.address, news)
 
@@ -354,7 +360,7 @@
         is_reading = message.operator_place < 0
         if is_reading or known >= self._follower.operator_position:
             self._operator_resends.forget(message.address)
-        elif self._operator_resends.take(message.address, now):
+        elif self._operator_resends.acquire(message.address, now):
             rows = self._follower.operator_rows.list_since(known)
             news = self._make_operator_news(known, rows)
             self._transport.send(message.address, news)
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -16,8 +16,8 @@
 from roadlift.serving.calls import Model
 from roadlift.serving.health import Health
 from roadlift.serving.messages import Denial, Loaded, OwnerSign
-from roadlift.serving.newslog import Change
 from roadlift.serving.residency import Residency
+from roadlift.serving.updatelog import Change
 
 TICK = 0.1  # Seconds between looks for owners that fell silent.
 # Seconds of silence behind which an owner is not asked: its sign comes each
--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -15,8 +15,8 @@
     Pulse,
     Subscribe,
 )
-from roadlift.serving.newslog import unpack_changes
 from roadlift.serving.telling import Telling
+from roadlift.serving.updatelog import unpack_changes
 
 SUBSCRIBE_PERIOD = 0.25  # Seconds between messages to each owner at most.
 # The same where calls have begun or ended since: an aggregator gathers those
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -21,9 +21,9 @@
     OwnerSign,
     Snapshot,
 )
-from roadlift.serving.newslog import unpack_changes
 from roadlift.serving.position import ZERO_POSITION, StorePosition
 from roadlift.serving.telling import WholeTelling
+from roadlift.serving.updatelog import unpack_changes
 
 BEAT_PERIOD = 0.25  # Seconds between heartbeats that ask for a reply.
 PROBE_PERIOD = 1.0  # Seconds between looks whether others live.
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -28,7 +28,7 @@
     Pulse,
     Subscribe,
 )
-from roadlift.serving.newslog import CatchUp, Change, NewsLog, pack_changes
+from roadlift.serving.updatelog import CatchUp, Change, UpdateLog, pack_changes
 from roadlift.serving.usage import Completeness
 
 # Seconds between two news of what engines hold. Instances that asked are told
@@ -52,7 +52,7 @@
         self._follower = kernel.get(Follower)
         self._ledger = kernel.get(CrashLedger)
         self._zone = zone
-        self._news = NewsLog()
+        self._news = UpdateLog()
         self._subscribers: dict[str, float] = {}
         self._members: dict[str, int] = {}
         self._pulsed_at: dict[str, float] = {}
--- a/roadlift/serving/newslog.py
+++ b/roadlift/serving/updatelog.py
@@ -13,12 +13,12 @@
 from typing import NamedTuple
 
 # Updates that are kept for resends: about 25 s of them at the usual rate.
-MOST_KEPT = 256
+MAX_KEPT = 256
 # Seconds between resends to one subscriber, as the last may be in transit. The
 # interval doubles, up to the maximum, after each resend that did not help: a
 # congested link must not get more copies of what it already carries.
-RESEND_PERIOD = 0.6
-MOST_RESEND_PERIOD = 10.0
+RESEND_INTERVAL = 0.6
+MAX_RESEND_INTERVAL = 10.0
 
 
 class Change(NamedTuple):
@@ -83,22 +83,22 @@
 
     def __init__(self) -> None:
         self.next_at = float("-inf")
-        self.interval = RESEND_PERIOD
+        self.interval = RESEND_INTERVAL
 
 
-class Resends:
+class ResendLimiter:
     """Limits resends to subscribers, with an exponential back-off."""
 
     def __init__(self) -> None:
         self._states: dict[str, _ResendState] = {}
 
-    def take(self, subscriber: str, now: float) -> bool:
+    def acquire(self, subscriber: str, now: float) -> bool:
         """Return whether to resend now, and count it as sent if so."""
         state = self._states.setdefault(subscriber, _ResendState())
         if now < state.next_at:
             return False
         state.next_at = now + state.interval
-        state.interval = min(MOST_RESEND_PERIOD, 2 * state.interval)
+        state.interval = min(MAX_RESEND_INTERVAL, 2 * state.interval)
         return True
 
     def forget(self, subscriber: str) -> None:
@@ -106,12 +106,12 @@
         self._states.pop(subscriber, None)
 
 
-class NewsLog:
+class UpdateLog:
     """The recent updates of one owner, by serial."""
 
     def __init__(self) -> None:
-        self._entries: deque[_Update] = deque(maxlen=MOST_KEPT)
-        self._resends = Resends()
+        self._entries: deque[_Update] = deque(maxlen=MAX_KEPT)
+        self._resends = ResendLimiter()
         self.serial = 0
 
     def add(self, changes: list[Change]) -> int:
@@ -133,7 +133,7 @@
         if is_kept and not is_lacking:
             self._resends.forget(subscriber)
             return CatchUp.NOTHING
-        if not self._resends.take(subscriber, now):
+        if not self._resends.acquire(subscriber, now):
             return CatchUp.NOTHING
         return CatchUp.CHANGES if is_kept else CatchUp.ALL
 
--- a/tests/steps/newslog_steps.py
+++ b/tests/steps/newslog_steps.py
@@ -2,9 +2,9 @@
 
 from behave import given, then, when
 
-from roadlift.serving.newslog import (
+from roadlift.serving.updatelog import (
     Change,
-    NewsLog,
+    UpdateLog,
     pack_changes,
     unpack_changes,
 )
@@ -17,7 +17,7 @@
 @given("an owner that has sent {count:d} updates")
 def step_log(context, count):
     """Send updates of one change each."""
-    context.log = NewsLog()
+    context.log = UpdateLog()
     for number in range(1, count + 1):
         assert context.log.add([_change(number)]) == number - 1
 
