--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -22,12 +22,12 @@
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import Ask, Denial
-from roadlift.serving.pace import Paces
 from roadlift.serving.selection import (
     Homes,
     Load,
     choose_least_loaded,
 )
+from roadlift.serving.speed import EngineSpeeds
 
 ASK_PERIOD = 0.3  # Seconds after which an asking is sent again.
 # Seconds for which an engine is not asked again for an adapter that it was
@@ -82,7 +82,7 @@
         self._wishes: dict[tuple[str, Model], Wish] = {}
         self._timers: list = []
         self.health = self._knowledge.health
-        self.paces = Paces()
+        self.paces = EngineSpeeds()
         self.reading_times = ReadingTimes()
         self.generations = Generations()
         self.silence = SilenceWatch()
--- a/roadlift/serving/pace.py
+++ b/roadlift/serving/speed.py
@@ -12,9 +12,9 @@
 HALF_LIFE = 2.0  # Seconds in which the weight of a sample halves.
 # A sample is capped at this multiple of the current mean, so that one long
 # answer does not make its endpoint look slow.
-MOST_STEP = 4.0
-LEAST_FACTOR = 0.5  # Bounds of the relative speed factor.
-MOST_FACTOR = 4.0
+MAX_SAMPLE_RATIO = 4.0
+MIN_FACTOR = 0.5  # Bounds of the relative speed factor.
+MAX_FACTOR = 4.0
 
 
 class _Mean:
@@ -31,7 +31,7 @@
         """Add a sample."""
         decay = math.exp2((self.updated_at - now) / HALF_LIFE)
         if self.weight:
-            seconds = min(seconds, MOST_STEP * self.total / self.weight)
+            seconds = min(seconds, MAX_SAMPLE_RATIO * self.total / self.weight)
         self.total = self.total * decay + seconds
         self.weight = self.weight * decay + 1.0
         self.updated_at = now
@@ -42,7 +42,7 @@
         return self.total / self.weight, self.weight * decay
 
 
-class Paces:
+class EngineSpeeds:
     """The speeds of endpoints, as observed by this process's calls."""
 
     def __init__(self) -> None:
@@ -82,4 +82,4 @@
 
 
 def _bound(factor: float) -> float:
-    return min(MOST_FACTOR, max(LEAST_FACTOR, factor))
+    return min(MAX_FACTOR, max(MIN_FACTOR, factor))
