--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -15,8 +15,8 @@
     Pulse,
     Subscribe,
 )
-from roadlift.serving.telling import Telling
 from roadlift.serving.updatelog import unpack_changes
+from roadlift.serving.usagereports import UsageReport
 
 SUBSCRIBE_PERIOD = 0.25  # Seconds between messages to each owner at most.
 # The same where calls have begun or ended since: an aggregator gathers those
@@ -34,7 +34,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        collect: Callable[[str], Telling],
+        collect: Callable[[str], UsageReport],
         doubt: Callable[[str], None],
         count_members: Callable[[], int],
     ) -> None:
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -22,8 +22,8 @@
     Snapshot,
 )
 from roadlift.serving.position import ZERO_POSITION, StorePosition
-from roadlift.serving.telling import WholeTelling
 from roadlift.serving.updatelog import unpack_changes
+from roadlift.serving.usagereports import AllZonesReport
 
 BEAT_PERIOD = 0.25  # Seconds between heartbeats that ask for a reply.
 PROBE_PERIOD = 1.0  # Seconds between looks whether others live.
@@ -47,7 +47,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        collect: Callable[[], WholeTelling],
+        collect: Callable[[], AllZonesReport],
         doubt: Callable[[], None],
     ) -> None:
         self._kernel = kernel
@@ -142,12 +142,12 @@
             return
         self._probe_at = now
         for address in self._sources.list_others(candidates):
-            self._send(address, WholeTelling(0, False, []), True, now)
+            self._send(address, AllZonesReport(0, False, []), True, now)
 
     def _leave(self, address: str) -> None:
         """Tell an aggregator that this process subscribes no more."""
         if address:
-            self._send(address, WholeTelling(0, False, []), True, 0.0)
+            self._send(address, AllZonesReport(0, False, []), True, 0.0)
 
     def plan(self) -> None:
         """Tell the aggregator of calls before long."""
@@ -173,7 +173,7 @@
             self._beat_at = float("-inf")
 
     def _send(
-        self, address: str, telling: WholeTelling, is_probe: bool, at: float
+        self, address: str, telling: AllZonesReport, is_probe: bool, at: float
     ) -> bool:
         """Send a heartbeat; False means that it was dropped."""
         is_candidate = self._leases.is_candidate and self._follower.is_reachable
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -14,7 +14,7 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.members import MemberCalls, UseChange
 from roadlift.serving.messages import Ask, Denial, Heartbeat
-from roadlift.serving.telling import Tellings
+from roadlift.serving.usagereports import UsageReports
 
 TICK = 0.1  # Seconds between looks at what is to be told.
 
@@ -31,18 +31,18 @@
         self._transport = kernel.get(Transport)
         self._knowledge = kernel.get(Knowledge)
         self._leases = kernel.get(Leases)
-        self._tellings = Tellings()
+        self._tellings = UsageReports()
         self._members = MemberCalls()
         self._owners = OwnerStreams(
             kernel,
             lambda zone: self._tellings.collect(zone, self._count_reading),
-            self._tellings.doubt,
+            self._tellings.request_full_report,
             lambda: 1 + self.count_members(),
         )
         self._source = SourceStream(
             kernel,
             lambda: self._tellings.collect_all(self._count_reading),
-            self._tellings.doubt_aggregator,
+            self._tellings.request_full_aggregator_report,
         )
         self._is_direct = False
         self._timer = None
@@ -77,7 +77,7 @@
 
     def _switch(self) -> None:
         """Hear the owners in place of an aggregator, or the reverse."""
-        self._tellings.doubt_all()
+        self._tellings.request_full_reports()
         if self._is_direct:
             self._source.close()
             self._owners.open()
--- a/roadlift/serving/messages.py
+++ b/roadlift/serving/messages.py
@@ -15,9 +15,9 @@
     """Report an aggregator's liveness and its usage to an owner.
 
     ``members`` counts the instances that it represents, including itself;
-    ``count``, ``is_whole``, ``uses`` and ``reading`` are as in ``Telling``;
-    ``fence`` and ``serial`` are of the last update from the owner. With
-    ``is_lacking`` a later update was lost.
+    ``count``, ``is_whole``, ``uses`` and ``reading`` are as in
+    ``UsageReport``; ``fence`` and ``serial`` are of the last update from the
+    owner. With ``is_lacking`` updates after it were lost.
     """
 
     address: str
@@ -145,12 +145,12 @@
     ``home`` is the instance's local zone, ``is_candidate`` whether it can
     acquire leases; with ``is_probe`` it does not subscribe, and is
     unsubscribed if it did. ``stream``, ``serial`` and ``list_serial`` are of
-    the last update from the aggregator; with ``is_lacking`` a later update was
-    lost. ``operator_place`` is the packed position of the newest operator row
-    that it knows, -1 while it reads them all. ``at`` is the instance's own
+    the last update from the aggregator; with ``is_lacking`` updates after it
+    were lost. ``operator_place`` is the packed position of the newest operator
+    row that it knows, -1 while it reads them all. ``at`` is the instance's own
     time, which the reply repeats, or 0 for no reply. ``count`` and
-    ``is_whole`` are as in ``Telling``; ``zones`` are [zone, uses, reading].
-    ``link_mbps`` is the bandwidth of the instance's link.
+    ``is_whole`` are as in ``UsageReport``; ``zones`` are [zone, uses,
+    reading]. ``link_mbps`` is the bandwidth of the instance's link.
     """
 
     address: str
--- a/roadlift/serving/telling.py
+++ b/roadlift/serving/usagereports.py
@@ -10,7 +10,7 @@
 from roadlift.serving.calls import Model
 
 
-class Telling(NamedTuple):
+class UsageReport(NamedTuple):
     """A report to one owner.
 
     ``count`` numbers the reports to the owners of the zone. With ``is_whole``
@@ -25,7 +25,7 @@
     reading: list
 
 
-class WholeTelling(NamedTuple):
+class AllZonesReport(NamedTuple):
     """A report to an aggregator: [zone, uses, reading] of all zones."""
 
     count: int
@@ -54,7 +54,7 @@
         self.unreported: set[str] = set()
 
 
-class Tellings:
+class UsageReports:
     """Collects the calls of one or several instances at engines, by zone."""
 
     def __init__(self) -> None:
@@ -82,17 +82,17 @@
         """Record that the unread prompt tokens at an engine changed."""
         self._find(zone).unreported.add(endpoint)
 
-    def doubt(self, zone: str) -> None:
+    def request_full_report(self, zone: str) -> None:
         """Make the next report to a zone's owner a full one."""
         self._find(zone).needs_full_report = True
 
-    def doubt_all(self) -> None:
+    def request_full_reports(self) -> None:
         """Make all next reports full ones, as for a new receiver."""
         self._needs_full_report = True
         for zone_calls in self._zones.values():
             zone_calls.needs_full_report = True
 
-    def collect(self, zone: str, count_reading: Callable[[str], int]) -> Telling:
+    def collect(self, zone: str, count_reading: Callable[[str], int]) -> UsageReport:
         """Return the next report to a zone's owner.
 
         ``count_reading`` returns the unread prompt tokens at an engine.
@@ -113,9 +113,9 @@
         ]
         reading = [[name, count_reading(name)] for name in readers]
         zone_calls.readers -= {name for name, tokens in reading if not tokens}
-        return Telling(zone_calls.count, is_whole, uses, reading)
+        return UsageReport(zone_calls.count, is_whole, uses, reading)
 
-    def collect_all(self, count_reading: Callable[[str], int]) -> WholeTelling:
+    def collect_all(self, count_reading: Callable[[str], int]) -> AllZonesReport:
         """Return the next report to an aggregator, of all zones."""
         self._count += 1
         is_whole, self._needs_full_report = self._needs_full_report, False
@@ -125,8 +125,8 @@
             report = self.collect(zone, count_reading)
             if report.uses or report.reading:
                 zones.append([zone, report.uses, report.reading])
-        return WholeTelling(self._count, is_whole, zones)
+        return AllZonesReport(self._count, is_whole, zones)
 
-    def doubt_aggregator(self) -> None:
+    def request_full_aggregator_report(self) -> None:
         """Make the next report to the aggregator a full one."""
         self._needs_full_report = True
--- a/tests/steps/aggregation_steps.py
+++ b/tests/steps/aggregation_steps.py
@@ -15,7 +15,7 @@
     unpack_row,
 )
 from roadlift.serving.position import FIRST_ERA, StorePosition
-from roadlift.serving.telling import Tellings
+from roadlift.serving.usagereports import UsageReports
 
 _MODEL = Model("base", "x")
 
@@ -47,7 +47,7 @@
 @when('calls begin and end as "{calls}"')
 def step_calls(context, calls):
     """Count calls at an engine of each zone."""
-    context.reports = reports = Tellings()
+    context.reports = reports = UsageReports()
     for words in calls.split(", "):
         if words.endswith("begins"):
             reports.note_use(words[:2], "e", _MODEL, 1, 1)
@@ -58,7 +58,7 @@
         elif words == "is reported by zone":
             reports.collect("z2", lambda endpoint: 0)
         elif words == "is requested in full":
-            reports.doubt_aggregator()
+            reports.request_full_aggregator_report()
 
 
 @then("the next report to the aggregator is {report}")
