--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -169,7 +169,7 @@
         self._subscribers[address] = Subscriber(
             now, message.home, message.is_candidate, message.link_mbps
         )
-        self._completeness.note(address, message.count, message.is_whole)
+        self._completeness.record(address, message.count, message.is_whole)
         self._subscription.note_member(message)
         self._owner.consider_hand_back(message)
         self._answer(message, MOST_TRIES)
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -120,7 +120,7 @@
         engine.on_end = self._note_end
         self.engines[endpoint.id] = engine
         # Calls may have been told of that run there since before it was known.
-        self._completeness.doubt_all()
+        self._completeness.mark_all_incomplete()
         engine.advance()
 
     def take_version(self, model: Model, version: int) -> None:
@@ -134,7 +134,7 @@
         now = self._kernel.clock.now()
         self._subscribers[message.address] = now
         self._members[message.address] = message.members
-        self._completeness.note(message.address, message.count, message.is_whole)
+        self._completeness.record(message.address, message.count, message.is_whole)
         if message.is_whole:
             self._forget_calls(message.address)
         for endpoint, base, adapter, begun, running in message.uses:
@@ -144,10 +144,12 @@
             model = Model(base, adapter)
             if begun:
                 engine.book.record_use(model, begun, now)
-            engine.book.usage.note_running(message.address, model, running)
+            engine.book.usage.record_running(message.address, model, running)
         for endpoint, tokens in message.reading:
             if endpoint in self.engines:
-                self.engines[endpoint].book.usage.note_reading(message.address, tokens)
+                self.engines[endpoint].book.usage.record_reading(
+                    message.address, tokens
+                )
         if message.uses or message.reading:
             self._plan_loads()
         self._catch_up(message, now)
--- a/roadlift/serving/usage.py
+++ b/roadlift/serving/usage.py
@@ -10,7 +10,7 @@
         self._running: dict[Model, dict[str, int]] = {}
         self._reading: dict[str, int] = {}
 
-    def note_running(self, instance: str, model: Model, running: int) -> None:
+    def record_running(self, instance: str, model: Model, running: int) -> None:
         """Record how many calls of an instance run on an adapter."""
         counts = self._running.setdefault(model, {})
         if running:
@@ -32,7 +32,7 @@
         """Return the number of calls that run, of all instances."""
         return sum(sum(counts.values()) for counts in self._running.values())
 
-    def note_reading(self, instance: str, tokens: int) -> None:
+    def record_reading(self, instance: str, tokens: int) -> None:
         """Record how many prompt tokens of an instance's calls are unread."""
         if tokens:
             self._reading[instance] = tokens
@@ -47,7 +47,7 @@
         """Drop the reports of an instance that is gone."""
         self._reading.pop(instance, None)
         for model in list(self._running):
-            self.note_running(instance, model, 0)
+            self.record_running(instance, model, 0)
 
 
 class Completeness:
@@ -62,7 +62,7 @@
         self._counts: dict[str, int] = {}
         self._incomplete: set[str] = set()
 
-    def note(self, instance: str, count: int, is_whole: bool) -> None:
+    def record(self, instance: str, count: int, is_whole: bool) -> None:
         """Record a report's number, and whether it was a full report."""
         if is_whole:
             self._incomplete.discard(instance)
@@ -70,7 +70,7 @@
             self._incomplete.add(instance)
         self._counts[instance] = count
 
-    def doubt_all(self) -> None:
+    def mark_all_incomplete(self) -> None:
         """Mark all instances as incomplete: reports may have been ignored."""
         self._incomplete |= set(self._counts)
 
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -282,7 +282,7 @@
 def _begin_call(book, ends, model, end, now):
     book.record_use(model, 1, now)
     ends.setdefault(model, []).append(end)
-    book.usage.note_running("i", model, len(ends[model]))
+    book.usage.record_running("i", model, len(ends[model]))
 
 
 def _end_calls(book, ends, now):
@@ -290,7 +290,7 @@
         left = [end for end in times if end > now]
         if len(left) != len(times):
             ends[model] = left
-            book.usage.note_running("i", model, len(left))
+            book.usage.record_running("i", model, len(left))
 
 
 @then("each was loaded or denied within a second")
--- a/tests/steps/engine_steps.py
+++ b/tests/steps/engine_steps.py
@@ -77,7 +77,7 @@
     elif words[0] == "used":
         record.record_use(_model(words[1]), 1, at)
     elif words[0] == "runs":
-        record.usage.note_running("i", _model(words[1]), 1)
+        record.usage.record_running("i", _model(words[1]), 1)
     elif words[0] == "retires":
         record.retire(_model(words[1]), int(words[3]))
     elif words[0] == "misses":
