--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -129,7 +129,7 @@
         if heartbeat.is_whole:
             self.forget_member(member)
         for zone, uses, reading in heartbeat.zones:
-            self._take_changes(self._members.note_uses(member, zone, uses))
+            self._take_changes(self._members.apply_uses(member, zone, uses))
             for endpoint, tokens in reading:
                 self._members.note_reading(member, zone, endpoint, tokens)
                 self._tellings.note_reading(zone, endpoint)
@@ -137,7 +137,7 @@
 
     def forget_member(self, member: str) -> None:
         """Drop what a subscriber told of its calls."""
-        for zone, endpoint in self._members.list_readers(member):
+        for zone, endpoint in self._members.list_reading(member):
             self._tellings.note_reading(zone, endpoint)
         self._take_changes(self._members.forget(member))
 
--- a/roadlift/serving/members.py
+++ b/roadlift/serving/members.py
@@ -6,7 +6,7 @@
 from roadlift.serving.calls import Model
 
 
-class Place(NamedTuple):
+class UsageKey(NamedTuple):
     """An adapter at an engine of a zone, where calls run."""
 
     zone: str
@@ -21,7 +21,7 @@
     number of running calls.
     """
 
-    place: Place
+    key: UsageKey
     begun: int
     change: int
 
@@ -30,22 +30,22 @@
     """The running calls and unread prompt tokens of each subscriber."""
 
     def __init__(self) -> None:
-        self._running: dict[str, dict[Place, int]] = {}
+        self._running: dict[str, dict[UsageKey, int]] = {}
         self._reading: dict[str, dict[tuple[str, str], int]] = {}
         self._tokens: Counter[str] = Counter()
 
-    def note_uses(self, member: str, zone: str, uses: list) -> list[UseChange]:
+    def apply_uses(self, member: str, zone: str, uses: list) -> list[UseChange]:
         """Apply the uses in a usage report; return the resulting changes."""
         running = self._running.setdefault(member, {})
         changes = []
         for endpoint, base, adapter, begun, count in uses:
-            place = Place(zone, endpoint, Model(base, adapter))
-            change = count - running.get(place, 0)
-            changes.append(UseChange(place, begun, change))
+            key = UsageKey(zone, endpoint, Model(base, adapter))
+            change = count - running.get(key, 0)
+            changes.append(UseChange(key, begun, change))
             if count:
-                running[place] = count
+                running[key] = count
             else:
-                running.pop(place, None)
+                running.pop(key, None)
         return changes
 
     def note_reading(self, member: str, zone: str, endpoint: str, tokens: int) -> None:
@@ -64,14 +64,14 @@
         """Return the number of unread prompt tokens at an engine."""
         return self._tokens[endpoint]
 
-    def list_readers(self, member: str) -> list[tuple[str, str]]:
+    def list_reading(self, member: str) -> list[tuple[str, str]]:
         """Return the (zone, engine) pairs with unread prompts of a member."""
         return list(self._reading.get(member, ()))
 
     def forget(self, member: str) -> list[UseChange]:
         """Drop a member's reports; return the resulting changes."""
-        for zone, endpoint in self.list_readers(member):
+        for zone, endpoint in self.list_reading(member):
             self.note_reading(member, zone, endpoint, 0)
         self._reading.pop(member, None)
         running = self._running.pop(member, {})
-        return [UseChange(place, 0, -count) for place, count in running.items()]
+        return [UseChange(key, 0, -count) for key, count in running.items()]
--- a/roadlift/serving/messages.py
+++ b/roadlift/serving/messages.py
@@ -148,7 +148,7 @@
     the last update from the aggregator; with ``is_lacking`` updates after it
     were lost. ``operator_place`` is the packed position of the newest operator
     row that it knows, -1 while it reads them all. ``at`` is the instance's own
-    time, which the reply repeats, or 0 for no reply. ``count`` and
+    time, which the reply repeats, or 0 if it requests none. ``count`` and
     ``is_whole`` are as in ``UsageReport``; ``zones`` are [zone, uses,
     reading]. ``link_mbps`` is the bandwidth of the instance's link.
     """
--- a/tests/steps/aggregation_steps.py
+++ b/tests/steps/aggregation_steps.py
@@ -29,7 +29,7 @@
         changes = []
         if verb == "runs":
             uses = [["e", *_MODEL, 0, int(rest[0])]]
-            changes = context.calls.note_uses(member, "z", uses)
+            changes = context.calls.apply_uses(member, "z", uses)
         elif verb == "reads":
             context.calls.note_reading(member, "z", "e", int(rest[0]))
         else:
