--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -347,7 +347,7 @@
 
         One that starts then knows of the copy alone.
         """
-        rows = self._follower.operator_rows.list_ahead()
+        rows = self._follower.operator_rows.list_lost_by_store()
         if rows:
             news = self._make_operator_news(self._follower.operator_position, rows)
             self._transport.send(address, news)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -301,7 +301,7 @@
     def _find_source(self, endpoint: str, model: Model, least: int) -> Source:
         if not model.adapter or self._residency.holds(endpoint, model, least):
             return Source.HELD
-        if self._residency.is_at_hand(endpoint, model, least):
+        if self._residency.was_recently_held(endpoint, model, least):
             return Source.AT_HAND
         return Source.STORE
 
--- a/roadlift/serving/operatorrows.py
+++ b/roadlift/serving/operatorrows.py
@@ -8,8 +8,8 @@
 from roadlift.serving.position import StorePosition
 
 # zlib's level: compresses a configuration of 50 KB to a sixth within 1 ms.
-LEVEL = 1
-MOST_UNPACKED = 8 * 1024 * 1024  # Bytes of one row's value.
+COMPRESSION_LEVEL = 1
+MAX_UNPACKED_SIZE = 8 * 1024 * 1024  # Bytes of one row's value.
 
 
 class PackedRow(NamedTuple):
@@ -25,7 +25,7 @@
 
 def pack_row(row: StoredRow) -> PackedRow:
     """Return a row in the format for forwarding."""
-    value = None if row.value is None else zlib.compress(row.value, LEVEL)
+    value = None if row.value is None else zlib.compress(row.value, COMPRESSION_LEVEL)
     return PackedRow(row.key, row.position.pack(), value)
 
 
@@ -37,7 +37,7 @@
         if packed.value is None:
             return StoredRow(packed.key, None, position)
         decompressor = zlib.decompressobj()
-        value = decompressor.decompress(packed.value, MOST_UNPACKED)
+        value = decompressor.decompress(packed.value, MAX_UNPACKED_SIZE)
     except (TypeError, zlib.error) as error:
         raise MalformedMessage(repr(error)) from error
     if not decompressor.eof:
@@ -77,7 +77,7 @@
             self._rows[row.key] = known._replace(place=place)
             self._lost_by_store.add(row.key)
 
-    def list_ahead(self) -> list[PackedRow]:
+    def list_lost_by_store(self) -> list[PackedRow]:
         """Return the rows that are newer than the store's."""
         return [self._rows[key] for key in sorted(self._lost_by_store)]
 
--- a/roadlift/serving/residency.py
+++ b/roadlift/serving/residency.py
@@ -13,7 +13,7 @@
 # Evicted adapters that are remembered for each engine: about as many as an
 # engine keeps in its own memory. If it keeps fewer, some loads that are
 # expected to be short come from the weight store.
-MOST_RECENT = 64
+MAX_RECENT = 64
 
 
 class Residency:
@@ -33,7 +33,7 @@
         version = self._by_model.get(model, {}).get(endpoint)
         return version is not None and version >= least
 
-    def is_at_hand(self, endpoint: str, model: Model, least: int) -> bool:
+    def was_recently_held(self, endpoint: str, model: Model, least: int) -> bool:
         """Return whether an engine recently held ``least`` or newer."""
         version = self._recent.get(endpoint, {}).get(model)
         return version is not None and version >= least
@@ -62,7 +62,7 @@
         recent = self._recent.setdefault(endpoint, OrderedDict())
         recent[model] = version
         recent.move_to_end(model)
-        if len(recent) > MOST_RECENT:
+        if len(recent) > MAX_RECENT:
             recent.popitem(last=False)
 
     def replace(self, endpoint: str, held: Mapping[Model, int]) -> None:
--- a/tests/steps/aggregation_steps.py
+++ b/tests/steps/aggregation_steps.py
@@ -9,7 +9,7 @@
 from roadlift.serving.interfaces import StoredRow
 from roadlift.serving.members import MemberCalls
 from roadlift.serving.operatorrows import (
-    MOST_UNPACKED,
+    MAX_UNPACKED_SIZE,
     OperatorRows,
     pack_row,
     unpack_row,
@@ -86,7 +86,7 @@
     if name == "truncated":
         return [*packed[:2], packed[2][:-6]]
     if name == "too large":
-        return ["k", 7, zlib.compress(bytes(MOST_UNPACKED + 1), 1)]
+        return ["k", 7, zlib.compress(bytes(MAX_UNPACKED_SIZE + 1), 1)]
     if name == "a field too few":
         return packed[:2]
     return ["k", 7, 7] if name == "of another type" else packed
--- a/tests/steps/position_steps.py
+++ b/tests/steps/position_steps.py
@@ -107,6 +107,6 @@
 @then("the rows that the store lacks are {keys}")
 def step_ahead(context, keys):
     """Compare the keys."""
-    found = context.rows.list_ahead()
+    found = context.rows.list_lost_by_store()
     assert " ".join(row.key for row in found) == keys, found
     assert all(row.value != b"old" for row in found)
