--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -23,8 +23,8 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import Ask, Denial
 from roadlift.serving.selection import (
-    Homes,
     Load,
+    PreferredEndpoints,
     choose_least_loaded,
 )
 from roadlift.serving.speed import EngineSpeeds
@@ -76,7 +76,7 @@
         self._limits = kernel.get(EndpointLimits)
         self._rng = random.Random(kernel.stamp)
         self._residency = self._knowledge.residency
-        self._homes = Homes()
+        self._homes = PreferredEndpoints()
         self._loading = LoadWaits()
         self._workload = self._knowledge.workload
         self._wishes: dict[tuple[str, Model], Wish] = {}
--- a/roadlift/instance/progress.py
+++ b/roadlift/instance/progress.py
@@ -50,5 +50,5 @@
         first = self.first_after
         if first is None or first > route.objective:
             return True
-        most = route.pause_objective
+        most = route.event_interval_objective
         return most is not None and self.longest_pause > most
--- a/roadlift/serving/routes.py
+++ b/roadlift/serving/routes.py
@@ -21,11 +21,12 @@
     """How the calls of a host below a path prefix are served.
 
     ``timeout``, ``objective`` (the time to the first byte of a stream, or to
-    the end of another answer) and ``pause_objective`` (the time between
-    events) are in seconds; ``priority`` 0 is the most urgent; ``attempts`` is
-    the number of endpoints that a call may run on; ``patience`` is the
-    seconds without an event after which callers are expected to abandon a
-    stream, or None; calls of a route that ``is_open`` need no key.
+    the end of another answer) and ``event_interval_objective`` (the time
+    between events) are in seconds; ``priority`` 0 is the most urgent;
+    ``attempts`` is the number of endpoints that a call may run on;
+    ``patience`` is the seconds without an event after which callers are
+    expected to abandon a stream, or None; calls of a route that ``is_open``
+    need no key.
     """
 
     name: str
@@ -38,7 +39,7 @@
     priority: int = 0
     attempts: int = 1
     is_resumable: bool = False
-    pause_objective: float | None = None
+    event_interval_objective: float | None = None
     patience: float | None = None
     is_open: bool = False
 
@@ -77,7 +78,7 @@
     adapter_size: float = 0.0
 
 
-class EngineShape(NamedTuple):
+class EngineCapacity(NamedTuple):
     """The capacity of each engine of a service.
 
     ``slots`` is the batch size, ``kv_tokens`` the tokens in the KV cache,
@@ -97,32 +98,32 @@
 class Service(NamedTuple):
     """A service; ``engine`` is None if it runs no models.
 
-    ``most_connections`` is how many one endpoint accepts from all callers.
+    ``max_connections`` is how many one endpoint accepts from all callers.
     """
 
     name: str
     health_path: str
-    most_connections: int
-    engine: EngineShape | None = None
+    max_connections: int
+    engine: EngineCapacity | None = None
 
 
 class Allowance(NamedTuple):
     """An organisation's rate limit, over all instances.
 
     ``rate`` is per second, ``burst`` in addition, in tokens if ``is_tokens``,
-    else in calls; a call without a token count costs ``plain_tokens``.
+    else in calls; a call without a token count costs ``default_tokens``.
     """
 
     rate: float
     burst: float
     is_tokens: bool = False
-    plain_tokens: int = 0
+    default_tokens: int = 0
 
     def measure(self, tokens: int) -> float:
         """Return the cost of a call with a token count, or with 0 for none."""
         if not self.is_tokens:
             return 1.0
-        return float(tokens or self.plain_tokens)
+        return float(tokens or self.default_tokens)
 
 
 class Organisation(NamedTuple):
--- a/roadlift/serving/selection.py
+++ b/roadlift/serving/selection.py
@@ -12,8 +12,8 @@
 # fraction of the remote endpoint's slots. Each call ahead delays an engine's
 # next call by about 20 ms, whatever its slots: reading prompts is what
 # saturates engines.
-ZONE_CALLS = 2.0
-ZONE_PART = 0.25
+MAX_ZONE_PENALTY = 2.0
+ZONE_PENALTY_FRACTION = 0.25
 # Returns the running calls at an endpoint, weighted by its slowness.
 Load = Callable[[str], float]
 
@@ -30,14 +30,14 @@
     def measure(endpoint: Endpoint) -> tuple[float, float, float]:
         """Return the load; the zone and a random draw break ties."""
         slots = max(1, endpoint.slots)
-        penalty = min(ZONE_CALLS, ZONE_PART * slots)
+        penalty = min(MAX_ZONE_PENALTY, ZONE_PENALTY_FRACTION * slots)
         remote = 0.0 if endpoint.zone == zone else penalty
         return load(endpoint.id) + remote, remote, rng.expovariate(slots)
 
     return min(endpoints, key=measure, default=None)
 
 
-class Homes:
+class PreferredEndpoints:
     """Ranks the engines of a service for an adapter, by consistent hashing.
 
     Every instance computes the same order from the list of endpoints alone,
--- a/tests/steps/serving_steps.py
+++ b/tests/steps/serving_steps.py
@@ -11,7 +11,7 @@
 from roadlift.serving.directory import Directory, Endpoint
 from roadlift.serving.health import Health
 from roadlift.serving.routes import Route, RouteTable, Target
-from roadlift.serving.selection import Homes, choose_least_loaded
+from roadlift.serving.selection import PreferredEndpoints, choose_least_loaded
 
 
 def _endpoint(name, zone="z1", slots=4):
@@ -186,7 +186,7 @@
 
 
 def _find_preferred(engines, count):
-    preferred = Homes()
+    preferred = PreferredEndpoints()
     models = [Model("m", f"a{index}") for index in range(count)]
     return {model: preferred.rank("s", engines, model, 1)[0].id for model in models}
 
