--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -289,7 +289,7 @@
     def _relay_list(self) -> None:
         """Tell the subscribers what changed in the list."""
         directory = self._follower.directory
-        kept = directory.list_kept()
+        kept = directory.list_retained()
         known = {one.id: one for one in directory.list_all() if one.id not in kept}
         changed = [one for one in known.values() if self._listed.get(one.id) != one]
         gone = (set(self._listed) | self._kept) - set(known) - kept
--- a/roadlift/instance/standings.py
+++ b/roadlift/instance/standings.py
@@ -127,7 +127,7 @@
             self._note_leaving(endpoint, status, age)
         if statement.rest:
             self._note_rest(endpoint, statement.rest, status, age)
-        elif age is not None and not statement.is_turned_away:
+        elif age is not None and not statement.is_rejected:
             self._note_taken(endpoint, age)
         return statement
 
--- a/roadlift/serving/directory.py
+++ b/roadlift/serving/directory.py
@@ -13,7 +13,7 @@
 # Endpoints remembered of each kind: with a drain notice, draining, dropped. An
 # entry that lapsed, or comes from an older copy of the store, may show such an
 # endpoint as ready.
-MOST_LEFT = 4096
+MAX_REMEMBERED = 4096
 
 
 class HeldModel(NamedTuple):
@@ -31,8 +31,8 @@
     ``key`` is its name in the list, empty if that is the id. A restarted
     endpoint may keep its key; ``started_at`` then distinguishes its runs, in
     milliseconds, or 0 if unknown. ``is_draining`` is what the list says. One
-    that ``is_leaving`` announced in an answer that it is draining, and counts
-    as draining whatever its entry says.
+    that ``is_leaving`` announced in an answer that it is draining, and
+    counts as draining whatever its entry says.
     """
 
     id: str
@@ -111,7 +111,7 @@
         """Return every endpoint."""
         return self._endpoints.values()
 
-    def list_kept(self) -> set[str]:
+    def list_retained(self) -> set[str]:
         """Return the ids of vanished entries kept for the grace period."""
         return set(self._vanished)
 
@@ -244,5 +244,5 @@
 def _remember(known: dict[str, None], endpoint_id: str) -> None:
     """Add an id to a bounded set; the oldest is evicted."""
     known[endpoint_id] = None
-    if len(known) > MOST_LEFT:
+    if len(known) > MAX_REMEMBERED:
         del known[next(iter(known))]
--- a/roadlift/serving/statements.py
+++ b/roadlift/serving/statements.py
@@ -12,9 +12,9 @@
     None; with ``is_leaving`` it announces that it is draining; ``rest`` is
     the back-off in seconds that it requests from the rejected instance, or 0.
     ``faults`` are the errors of values that can't be read; ``unknown`` are the
-    names of headers that no table of the platform's adapter lists. A call that
-    ``is_turned_away`` was rejected for lack of capacity, with a back-off or
-    without.
+    names of headers that no table of the platform's adapter lists. With
+    ``is_rejected`` the call was rejected for lack of capacity, with a back-off
+    or without.
     """
 
     limit: float | None = None
@@ -22,7 +22,7 @@
     rest: float = 0.0
     faults: tuple[RoadliftError, ...] = ()
     unknown: tuple[str, ...] = ()
-    is_turned_away: bool = False
+    is_rejected: bool = False
 
     def has_fault(self, kind: type[RoadliftError]) -> bool:
         """Return whether a value failed to parse with a kind of error."""
