--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -107,7 +107,7 @@
 
     def _take_answer(self, plan: Plan, order: Order, answer: Answer) -> None:
         self._note_head(answer)
-        result = self._orders.judge_order(answer)
+        result = self._orders.classify_order(answer)
         self._take_result(plan, order, result, answer.status)
 
     def _note_head(self, answer: Answer) -> None:
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -296,7 +296,7 @@
         """Put the operator's rows in force."""
         for row in rows:
             try:
-                row = self._format.conceal(row)
+                row = self._format.redact(row)
                 configuration = self._format.read_configuration(row)
                 declared = self._format.read_version(row)
             except InvalidConfiguration as error:
--- a/roadlift/serving/interfaces.py
+++ b/roadlift/serving/interfaces.py
@@ -177,7 +177,7 @@
     def build_order(self, order: Order, endpoint: Endpoint) -> Request:
         """Return the request of an order."""
 
-    def judge_order(self, answer: Answer) -> OrderResult:
+    def classify_order(self, answer: Answer) -> OrderResult:
         """Classify the answer to an order."""
 
     def build_report(self, endpoint: Endpoint) -> Request:
@@ -193,7 +193,7 @@
     operator_table: str
     directory_table: str
 
-    def conceal(self, row: StoredRow) -> StoredRow:
+    def redact(self, row: StoredRow) -> StoredRow:
         """Return a row with API keys replaced by digests, for forwarding."""
 
     def read_configuration(self, row: StoredRow) -> Configuration | None:
--- a/tests/steps/adapter_steps.py
+++ b/tests/steps/adapter_steps.py
@@ -368,7 +368,7 @@
 @then("an order that is answered {status:d} is {result}")
 def step_order_judged(context, status, result):
     """Check the judgement of an order."""
-    found = _ADAPTER.orders.judge_order(Answer(status, {}, b""))
+    found = _ADAPTER.orders.classify_order(Answer(status, {}, b""))
     assert found.value == result, found
 
 
--- a/tests/steps/organisation_steps.py
+++ b/tests/steps/organisation_steps.py
@@ -65,7 +65,7 @@
     """Hide the keys of a configuration, as before it is passed on."""
     content = describe_configuration(3, [], SERVICES, 2) | make_tenants(change)
     context.plain = StoredRow("config", json.dumps(content).encode(), ZERO_POSITION)
-    context.concealed = _ADAPTER.state.conceal(context.plain)
+    context.concealed = _ADAPTER.state.redact(context.plain)
 
 
 @then("it holds no key, and is read as the same organisations")
@@ -74,7 +74,7 @@
     assert b"first-key" not in context.concealed.value
     read = _ADAPTER.state.read_configuration
     assert read(context.concealed) == read(context.plain)
-    assert _ADAPTER.state.conceal(context.concealed) == context.concealed
+    assert _ADAPTER.state.redact(context.concealed) == context.concealed
 
 
 class _PagedStore:
