--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -17,7 +17,7 @@
 from roadlift.instance.aggregator import Aggregator
 from roadlift.instance.leases import Leases
 from roadlift.instance.subscription import Subscription
-from roadlift.serving.crashsigns import read_signs
+from roadlift.serving.crashevidence import read_evidence
 from roadlift.serving.messages import CrashNews, CrashSum
 
 SUM_PERIOD = 1.0  # Seconds between checksums.
@@ -105,7 +105,7 @@
     def _take_news(self, sender: str, news: CrashNews) -> None:
         now = self._kernel.clock.now()
         try:
-            signs = read_signs(news.signs)
+            signs = read_evidence(news.signs)
         except MalformedMessage as error:
             log.warning("Signs of crashes were ignored: %s.", error)
             return
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -19,7 +19,7 @@
 from roadlift.instance.leases import Leases
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
-from roadlift.serving.crashsigns import encode_row, read_key, read_row
+from roadlift.serving.crashevidence import encode_row, read_key, read_row
 from roadlift.serving.interfaces import Rows, RowWrite, StoredRow, StoreTime
 from roadlift.serving.position import ZERO_POSITION, StorePosition
 
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -15,7 +15,7 @@
 from roadlift.instance.leases import Leases
 from roadlift.serving.calls import Model
 from roadlift.serving.health import Health
-from roadlift.serving.messages import Denial, Loaded, OwnerSign
+from roadlift.serving.messages import Denial, Loaded, OwnerLiveness
 from roadlift.serving.residency import Residency
 from roadlift.serving.updatelog import Change
 
@@ -32,7 +32,7 @@
 class _Owner(NamedTuple):
     """The last sign of an owner, and when it and its list were new."""
 
-    sign: OwnerSign
+    sign: OwnerLiveness
     heard_at: float
     list_at: float
 
@@ -166,7 +166,7 @@
 
     # The owners.
 
-    def note_sign(self, sign: OwnerSign) -> None:
+    def note_sign(self, sign: OwnerLiveness) -> None:
         """Learn of a sign of an owner, unless a later one is known."""
         now = self._kernel.clock.now()
         owner = _Owner(sign, now - sign.age, now - sign.age - sign.list_age)
@@ -178,7 +178,7 @@
         if now - owner.heard_at < OWNER_LIMIT or not sign.is_ready:
             self._leases.note_sign(sign.zone, sign.is_ready)
 
-    def list_signs(self) -> list[OwnerSign]:
+    def list_signs(self) -> list[OwnerLiveness]:
         """Return the last sign of each owner, with its present age."""
         now = self._kernel.clock.now()
         return [
--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -11,7 +11,7 @@
     EngineLoads,
     Listing,
     News,
-    OwnerSign,
+    OwnerLiveness,
     Pulse,
     Subscribe,
 )
@@ -112,7 +112,7 @@
         self._pulses[pulse.zone] = (pulse.fence, pulse.serial)
         address = self._leases.find_owner(pulse.zone) or ""
         self._knowledge.note_sign(
-            OwnerSign(
+            OwnerLiveness(
                 pulse.zone, address, pulse.fence, pulse.is_ready, 0.0, pulse.list_age
             )
         )
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -18,7 +18,7 @@
     HeartbeatReply,
     ListNews,
     OperatorNews,
-    OwnerSign,
+    OwnerLiveness,
     Snapshot,
 )
 from roadlift.serving.position import ZERO_POSITION, StorePosition
@@ -205,7 +205,7 @@
         if not self._is_open:
             return
         for fields in reply.owners:
-            self._knowledge.note_sign(read_fields(OwnerSign, fields))
+            self._knowledge.note_sign(read_fields(OwnerLiveness, fields))
         address = reply.address
         age = reply.list_age
         if reply.asked_at:
--- a/roadlift/management/commands/unbar.py
+++ b/roadlift/management/commands/unbar.py
@@ -4,7 +4,7 @@
 from roadlift.instance.crashrows import TABLE
 from roadlift.management.rows import BlockingRows
 from roadlift.management.sources import DEFAULT_PLATFORM
-from roadlift.serving.crashsigns import read_key
+from roadlift.serving.crashevidence import read_key
 from roadlift.serving.interfaces import RowWrite
 
 
--- a/roadlift/serving/crashsigns.py
+++ b/roadlift/serving/crashevidence.py
@@ -8,9 +8,9 @@
 from roadlift.decisions.crashes import STRONG, WEAK, Sign
 from roadlift.serving.identity import IDENTITY_SIZE
 
-MOST_NAME = 512  # Characters of an endpoint's id.
+MAX_NAME_LENGTH = 512  # Characters of an endpoint's id.
 # Seconds after which evidence has no weight; an upper bound for input.
-MOST_AGE = 100_000.0
+MAX_AGE = 100_000.0
 _WEIGHTS = (0, WEAK, STRONG)
 _UNREADABLE = (
     AttributeError,
@@ -20,7 +20,7 @@
 )
 
 
-def read_signs(fields: Iterable[list]) -> list[Sign]:
+def read_evidence(fields: Iterable[list]) -> list[Sign]:
     """Return the evidence in a message, or raise MalformedMessage."""
     try:
         return [_check(Sign(*entry)) for entry in fields]
@@ -67,10 +67,13 @@
         or len(evidence.identity) != IDENTITY_SIZE
     ):
         raise ValueError("invalid identity")
-    if not isinstance(evidence.endpoint, str) or len(evidence.endpoint) > MOST_NAME:
+    if (
+        not isinstance(evidence.endpoint, str)
+        or len(evidence.endpoint) > MAX_NAME_LENGTH
+    ):
         raise ValueError("invalid endpoint id")
     if evidence.weight not in _WEIGHTS or isinstance(evidence.weight, bool):
         raise ValueError("invalid weight")
-    if not 0.0 <= evidence.age <= MOST_AGE:
+    if not 0.0 <= evidence.age <= MAX_AGE:
         raise ValueError("age out of range")
     return evidence
--- a/roadlift/serving/messages.py
+++ b/roadlift/serving/messages.py
@@ -184,7 +184,7 @@
     ``address``; unless ``is_serving`` it holds no lease. ``instances`` counts
     all known instances, ``members`` those that subscribe here. Unless
     ``is_complete`` some of the instance's running calls are unknown here, and
-    it sends a full report. ``owners`` are the fields of ``OwnerSign``. The
+    it sends a full report. ``owners`` are the fields of ``OwnerLiveness``. The
     list of endpoints, as of ``list_serial`` of the stream and the store's
     packed position ``list_place``, was read ``list_age`` seconds ago;
     ``operator_place`` is of the newest operator row as of ``operator_age``
@@ -207,7 +207,7 @@
     asked_at: float
 
 
-class OwnerSign(NamedTuple):
+class OwnerLiveness(NamedTuple):
     """The last liveness signal of a zone's owner, ``age`` seconds ago.
 
     ``fence`` is of its term; ``list_age`` the seconds since it has read the
--- a/tests/steps/barred_steps.py
+++ b/tests/steps/barred_steps.py
@@ -15,7 +15,7 @@
 from roadlift.explanation.lines import read_lines
 from roadlift.instance.crashrows import TABLE
 from roadlift.management.rows import BlockingRows
-from roadlift.serving.crashsigns import encode_row
+from roadlift.serving.crashevidence import encode_row
 from roadlift.serving.interfaces import RowWrite
 from roadlift.serving.position import ZERO_POSITION
 
--- a/tests/steps/sign_steps.py
+++ b/tests/steps/sign_steps.py
@@ -8,7 +8,7 @@
 from roadlift.core.errors import MalformedMessage
 from roadlift.decisions.crashes import STRONG, WEAK, Crashes, Sign
 from roadlift.serving.calls import Call, Model
-from roadlift.serving.crashsigns import read_signs
+from roadlift.serving.crashevidence import read_evidence
 from roadlift.serving.identity import IDENTITY_SIZE, identify
 
 _WEIGHTS = {"strong": STRONG, "weak": WEAK}
@@ -95,7 +95,7 @@
         if isinstance(one, list):
             one[0] = _name("a") if one[0] == "IDENTITY" else one[0]
     try:
-        found = read_signs(fields)
+        found = read_evidence(fields)
     except MalformedMessage:
         return
     raise AssertionError(found)
