--- a/roadlift/serving/directory.py
+++ b/roadlift/serving/directory.py
@@ -127,30 +127,30 @@
         for vanished in set(self._endpoints) - set(endpoints):
             self.remove(vanished, now)
 
-    def relay(self, news: ListNews, now: float) -> None:
+    def relay(self, update: ListNews, now: float) -> None:
         """Apply an update from another instance.
 
         Entries that it keeps for a grace period are kept here if they are
         known here. They are not added: this process may have seen them go.
         """
         self.is_known = True
-        changed = [decode_endpoint(fields) for fields in news.changed]
+        changed = [decode_endpoint(fields) for fields in update.changed]
         for endpoint in changed:
             self.put(endpoint)
-        kept = set(news.kept) & set(self._endpoints)
+        kept = set(update.kept) & set(self._endpoints)
         if kept:
             self._grace_until = max(self._grace_until, now + RETURN_GRACE)
         for endpoint_id in kept:
             self.remove(endpoint_id, now)
         named = {endpoint.id for endpoint in changed} | kept
-        removed = set(self._endpoints) - named if news.is_whole else set(news.gone)
+        removed = set(self._endpoints) - named if update.is_whole else set(update.gone)
         for endpoint_id in removed & set(self._endpoints):
             self._drop(endpoint_id)
 
     def note_leaving(self, endpoint_id: str) -> bool:
         """Record that one run of an endpoint announced that it is draining.
 
-        This is final for that run. Returns whether it was unknown.
+        This is final for that run. Returns whether it is new.
         """
         if endpoint_id in self._drain_notices:
             return False
--- a/roadlift/serving/loads.py
+++ b/roadlift/serving/loads.py
@@ -23,9 +23,9 @@
 class BaseLoadLimiter:
     """One owner's share of the weight store's rate limit for base models.
 
-    The platform limits how many loads from the weight store begin per second
-    over all engines. Owners share no counter, so each zone's owner gets an
-    equal share. ``rate`` is in loads per second, 0 for no limit.
+    The platform limits how many loads from the weight store begin within some
+    seconds over all engines. Owners share no counter, so each zone's owner
+    gets an equal share. ``rate`` is in loads per second, 0 for no limit.
     """
 
     def __init__(self, rate: float) -> None:
--- a/roadlift/serving/speed.py
+++ b/roadlift/serving/speed.py
@@ -27,7 +27,7 @@
         self.total = 0.0
         self.weight = 0.0
 
-    def note(self, seconds: float, now: float) -> None:
+    def add(self, seconds: float, now: float) -> None:
         """Add a sample."""
         decay = math.exp2((self.updated_at - now) / HALF_LIFE)
         if self.weight:
@@ -53,7 +53,7 @@
         mean = self._means.get(endpoint)
         if mean is None:
             mean = self._means[endpoint] = _Mean(now)
-        mean.note(seconds, now)
+        mean.add(seconds, now)
 
     def compare(self, endpoints: Iterable[str], now: float) -> dict[str, float]:
         """Return a slowness factor by endpoint; 1 is the service's median.
--- a/roadlift/serving/usagereports.py
+++ b/roadlift/serving/usagereports.py
@@ -33,8 +33,8 @@
     zones: list
 
 
-class _ZoneCalls:
-    """The calls at one zone's engines, and what is yet to be reported."""
+class _Zone:
+    """The known calls at one zone's engines, and what to report."""
 
     __slots__ = (
         "begun",
@@ -58,25 +58,25 @@
     """Collects the calls of one or several instances at engines, by zone."""
 
     def __init__(self) -> None:
-        self._zones: dict[str, _ZoneCalls] = {}
+        self._zones: dict[str, _Zone] = {}
         self._count = 0
         self._needs_full_report = False
 
-    def _find(self, zone: str) -> _ZoneCalls:
-        return self._zones.setdefault(zone, _ZoneCalls())
+    def _find(self, zone: str) -> _Zone:
+        return self._zones.setdefault(zone, _Zone())
 
     def note_use(
         self, zone: str, endpoint: str, model: Model, begun: int, change: int
     ) -> None:
         """Count calls that begin, and a change in the number that run."""
-        zone_calls = self._find(zone)
+        known = self._find(zone)
         key = (endpoint, model)
-        zone_calls.begun[key] = zone_calls.begun.get(key, 0) + begun
-        running = zone_calls.running.get(key, 0) + change
+        known.begun[key] = known.begun.get(key, 0) + begun
+        running = known.running.get(key, 0) + change
         if running > 0:
-            zone_calls.running[key] = running
+            known.running[key] = running
         else:
-            zone_calls.running.pop(key, None)
+            known.running.pop(key, None)
 
     def note_reading(self, zone: str, endpoint: str) -> None:
         """Record that the unread prompt tokens at an engine changed."""
@@ -89,39 +89,36 @@
     def request_full_reports(self) -> None:
         """Make all next reports full ones, as for a new receiver."""
         self._needs_full_report = True
-        for zone_calls in self._zones.values():
-            zone_calls.needs_full_report = True
+        for known in self._zones.values():
+            known.needs_full_report = True
 
     def collect(self, zone: str, count_reading: Callable[[str], int]) -> UsageReport:
-        """Return the next report to a zone's owner.
-
-        ``count_reading`` returns the unread prompt tokens at an engine.
-        """
-        zone_calls = self._find(zone)
-        zone_calls.count += 1
-        is_whole, zone_calls.needs_full_report = zone_calls.needs_full_report, False
-        begun, zone_calls.begun = zone_calls.begun, {}
-        zone_calls.readers |= zone_calls.unreported
-        readers, zone_calls.unreported = zone_calls.unreported, set()
+        """Return the next report; ``count_reading`` gives unread tokens."""
+        known = self._find(zone)
+        known.count += 1
+        is_whole, known.needs_full_report = known.needs_full_report, False
+        begun, known.begun = known.begun, {}
+        known.readers |= known.unreported
+        readers, known.unreported = known.unreported, set()
         keys = set(begun)
         if is_whole:
-            keys |= set(zone_calls.running)
-            readers = zone_calls.readers
+            keys |= set(known.running)
+            readers = known.readers
         uses = [
-            [key[0], *key[1], begun.get(key, 0), zone_calls.running.get(key, 0)]
+            [key[0], *key[1], begun.get(key, 0), known.running.get(key, 0)]
             for key in keys
         ]
         reading = [[name, count_reading(name)] for name in readers]
-        zone_calls.readers -= {name for name, tokens in reading if not tokens}
-        return UsageReport(zone_calls.count, is_whole, uses, reading)
+        known.readers -= {name for name, tokens in reading if not tokens}
+        return UsageReport(known.count, is_whole, uses, reading)
 
     def collect_all(self, count_reading: Callable[[str], int]) -> AllZonesReport:
         """Return the next report to an aggregator, of all zones."""
         self._count += 1
         is_whole, self._needs_full_report = self._needs_full_report, False
         zones = []
-        for zone, zone_calls in self._zones.items():
-            zone_calls.needs_full_report = is_whole
+        for zone, known in self._zones.items():
+            known.needs_full_report = is_whole
             report = self.collect(zone, count_reading)
             if report.uses or report.reading:
                 zones.append([zone, report.uses, report.reading])
