--- a/roadlift/decisions/workload.py
+++ b/roadlift/decisions/workload.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-from roadlift.serving.loads import FIRST_DURATION, measure_queue
+from roadlift.serving.loads import INITIAL_DURATION, measure_queue
 
 # Fraction by which an engine's calls, or its unread prompt tokens, must differ
 # from the last report to be reported again, and the minimum change in tokens.
@@ -33,7 +33,7 @@
     reading: int
     free_slots: int
     loads: int = 0
-    load_time: float = FIRST_DURATION
+    load_time: float = INITIAL_DURATION
 
     def differs(self, reported: "EngineLoad") -> bool:
         """Return whether subscribers need a report of this load."""
--- a/roadlift/instance/availabilities.py
+++ b/roadlift/instance/availabilities.py
@@ -134,7 +134,7 @@
             self._record_drain_notice(endpoint, status, age)
         if statement.rest:
             self._record_backoff(endpoint, statement.rest, status, age)
-        elif age is not None and not statement.is_turned_away:
+        elif age is not None and not statement.is_rejected:
             self._record_accepted(endpoint, age)
         return statement
 
--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -17,7 +17,7 @@
 from roadlift.instance.aggregator import Aggregator
 from roadlift.instance.leases import Leases
 from roadlift.instance.subscription import Subscription
-from roadlift.serving.crashsigns import read_signs
+from roadlift.serving.crashevidence import read_evidence
 from roadlift.serving.messages import CrashNews, CrashSum
 
 CHECKSUM_INTERVAL = 1.0  # Seconds between checksums.
@@ -120,7 +120,7 @@
     def _handle_update(self, sender: str, update: CrashNews) -> None:
         now = self._kernel.clock.now()
         try:
-            evidence = read_signs(update.signs)
+            evidence = read_evidence(update.signs)
         except MalformedMessage as error:
             log.warning("Crash evidence from another instance was ignored: %s.", error)
             return
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -20,9 +20,9 @@
 from roadlift.instance.leases import Leases
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
-from roadlift.serving.crashsigns import encode_row, read_key, read_row
+from roadlift.serving.crashevidence import encode_row, read_key, read_row
 from roadlift.serving.interfaces import Rows, RowWrite, StoredRow, StoreTime
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
 TABLE = "roadlift_crashes"
 # Seconds for which the store may hold a poll without a change. Rows rarely
@@ -137,7 +137,7 @@
             TABLE,
             identity.hex(),
             self._encode(identity, weights) if weights else None,
-            known.position if known else NOWHERE,
+            known.position if known else ZERO_POSITION,
         )
         self._store.write(
             row,
--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -16,7 +16,7 @@
 from roadlift.instance.platform import Platform
 from roadlift.relay.upstream import Answer, fetch
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import EngineBook, Plan
+from roadlift.serving.engine import EngineRecord, Plan
 from roadlift.serving.orders import EngineReport, Order, OrderResult
 
 # Seconds for the answer to an order. It normally takes some milliseconds, an
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, kernel: Kernel, zone: str, endpoint: Endpoint, record: EngineBook
+        self, kernel: Kernel, zone: str, endpoint: Endpoint, record: EngineRecord
     ) -> None:
         self._kernel = kernel
         self._orders = kernel.get(Platform).adapter.orders
@@ -79,7 +79,7 @@
             return
         while (plan := self.record.plan(now)) is not None:
             self._send(plan)
-        if self.record.take_peek(now):
+        if self.record.start_load_check(now):
             self._fetch_report(self._apply_arrivals, self._handle_peek_failure)
         if self.record.denied:
             self.on_change(self)
@@ -112,7 +112,7 @@
 
     def _handle_answer(self, plan: Plan, order: Order, answer: Answer) -> None:
         self._record_head(answer)
-        result = self._orders.judge_order(answer)
+        result = self._orders.classify_order(answer)
         self._handle_result(plan, order, result, answer.status)
 
     def _record_head(self, answer: Answer) -> None:
@@ -144,7 +144,7 @@
             result=result.value,
             said=said,
         )
-        self.record.note_result(plan, result, self._kernel.clock.now())
+        self.record.record_result(plan, result, self._kernel.clock.now())
         self.on_change(self)
         self.advance()
 
@@ -207,11 +207,11 @@
 
     def _apply_report(self, report: EngineReport) -> None:
         self._is_reading = False
-        self.record.take_report(report, self._kernel.clock.now())
+        self.record.apply_report(report, self._kernel.clock.now())
         self.on_report(self)
 
     def _apply_arrivals(self, report: EngineReport) -> None:
-        self.record.note_arrivals(report, self._kernel.clock.now())
+        self.record.record_loaded(report, self._kernel.clock.now())
         self.on_change(self)
 
     def _handle_peek_failure(self, error: RoadliftError) -> None:
@@ -223,6 +223,6 @@
         self._check_refused(error)
         if self._is_open:
             log.event("report_failed", endpoint=self.endpoint.id, error=str(error))
-            self.record.note_failed_report(self._kernel.clock.now())
+            self.record.record_failed_report(self._kernel.clock.now())
             self.on_change(self)
             self._wait(REPORT_RETRY_DELAY)
--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -11,12 +11,12 @@
     EngineLoads,
     Listing,
     News,
-    OwnerSign,
+    OwnerLiveness,
     Pulse,
     Subscribe,
 )
-from roadlift.serving.newslog import unpack_changes
-from roadlift.serving.telling import Telling
+from roadlift.serving.updatelog import unpack_changes
+from roadlift.serving.usagereports import UsageReport
 
 SUBSCRIBE_PERIOD = 0.25  # Seconds between messages to each owner at most.
 # The same where calls have begun or ended since: an aggregator gathers those
@@ -34,7 +34,7 @@
     def __init__(
         self,
         kernel: Kernel,
-        collect: Callable[[str], Telling],
+        collect: Callable[[str], UsageReport],
         doubt: Callable[[str], None],
         count_members: Callable[[], int],
     ) -> None:
@@ -112,7 +112,7 @@
         self._pulses[pulse.zone] = (pulse.fence, pulse.serial)
         address = self._leases.find_owner(pulse.zone) or ""
         self._knowledge.note_sign(
-            OwnerSign(
+            OwnerLiveness(
                 pulse.zone, address, pulse.fence, pulse.is_ready, 0.0, pulse.list_age
             )
         )
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -22,12 +22,12 @@
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import Ask, Denial
-from roadlift.serving.pace import Paces
 from roadlift.serving.selection import (
-    Homes,
     Load,
+    PreferredEndpoints,
     choose_least_loaded,
 )
+from roadlift.serving.speed import EngineSpeeds
 
 ASK_PERIOD = 0.3  # Seconds after which an asking is sent again.
 # Seconds for which an engine is not asked again for an adapter that it was
@@ -76,13 +76,13 @@
         self._limits = kernel.get(EndpointLimits)
         self._rng = random.Random(kernel.stamp)
         self._residency = self._knowledge.residency
-        self._homes = Homes()
+        self._homes = PreferredEndpoints()
         self._loading = LoadWaits()
         self._workload = self._knowledge.workload
         self._wishes: dict[tuple[str, Model], Wish] = {}
         self._timers: list = []
         self.health = self._knowledge.health
-        self.paces = Paces()
+        self.paces = EngineSpeeds()
         self.reading_times = ReadingTimes()
         self.generations = GenerationTimes()
         self.silence = InactivityMonitor()
@@ -219,7 +219,7 @@
         now = self._kernel.clock.now()
         silent = self.silence.list_unresponsive(now)
         for endpoint in silent:
-            self.health.note_absence(endpoint, now)
+            self.health.record_connect_failure(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
         # All are known to be silent before a call chooses another engine.
         for endpoint in silent:
@@ -301,7 +301,7 @@
     def _find_source(self, endpoint: str, model: Model, least: int) -> AdapterSource:
         if not model.adapter or self._residency.holds(endpoint, model, least):
             return AdapterSource.HELD
-        if self._residency.is_at_hand(endpoint, model, least):
+        if self._residency.was_recently_held(endpoint, model, least):
             return AdapterSource.AT_HAND
         return AdapterSource.STORE
 
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -15,9 +15,9 @@
 from roadlift.serving.calls import Model
 from roadlift.serving.copies import CopyState
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import DenialReason, EngineBook
+from roadlift.serving.engine import DenialReason, EngineRecord
 from roadlift.serving.identity import identify_load
-from roadlift.serving.loads import BaseLoads, LoadTimes
+from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.messages import (
     Ask,
     Denial,
@@ -28,7 +28,7 @@
     Pulse,
     Subscribe,
 )
-from roadlift.serving.newslog import CatchUp, Change, NewsLog, pack_changes
+from roadlift.serving.updatelog import CatchUp, Change, UpdateLog, pack_changes
 from roadlift.serving.usage import Completeness
 
 # Seconds between two updates of what engines hold. Instances that requested an
@@ -53,7 +53,7 @@
         self._follower = kernel.get(Follower)
         self._ledger = kernel.get(CrashLedger)
         self._zone = zone
-        self._updates = NewsLog()
+        self._updates = UpdateLog()
         self._subscribers: dict[str, float] = {}
         self._members: dict[str, int] = {}
         self._pulsed_at: dict[str, float] = {}
@@ -65,7 +65,7 @@
         self._requesters: dict[tuple[str, Model], set[str]] = {}
         self._times = LoadTimes()
         self._denials = Denials()
-        self._base_loads: BaseLoads | None = None
+        self._base_loads: BaseLoadLimiter | None = None
         self._loads: dict[str, EngineLoad] = {}
         self._loads_at = float("-inf")
         self.fence = fence
@@ -114,8 +114,8 @@
         base_models = tuple(model.name for model in shape.models)
         if self._base_loads is None:
             zones = len(self._kernel.get(Leases).list_zones())
-            self._base_loads = BaseLoads(shape.loads_per_second / zones)
-        record = EngineBook(
+            self._base_loads = BaseLoadLimiter(shape.loads_per_second / zones)
+        record = EngineRecord(
             shape.adapter_slots,
             base_models,
             self._times,
@@ -129,7 +129,7 @@
         self.engines[endpoint.id] = engine
         # Instances may have reported running calls there before the engine was
         # known here; those reports were ignored.
-        self._completeness.doubt_all()
+        self._completeness.mark_all_incomplete()
         engine.advance()
 
     def handle_version(self, model: Model, version: int) -> None:
@@ -143,7 +143,7 @@
         now = self._kernel.clock.now()
         self._subscribers[message.address] = now
         self._members[message.address] = message.members
-        self._completeness.note(message.address, message.count, message.is_whole)
+        self._completeness.record(message.address, message.count, message.is_whole)
         if message.is_whole:
             self._forget_calls(message.address)
         for endpoint, base, adapter, begun, running in message.uses:
@@ -152,11 +152,11 @@
                 continue
             model = Model(base, adapter)
             if begun:
-                engine.record.note_use(model, begun, now)
-            engine.record.usage.note_running(message.address, model, running)
+                engine.record.record_use(model, begun, now)
+            engine.record.usage.record_running(message.address, model, running)
         for endpoint, tokens in message.reading:
             if endpoint in self.engines:
-                self.engines[endpoint].record.usage.note_reading(
+                self.engines[endpoint].record.usage.record_reading(
                     message.address, tokens
                 )
         if message.uses or message.reading:
@@ -187,7 +187,7 @@
                 name: EngineLoad(
                     engine.record.usage.count_running(),
                     engine.record.usage.count_reading(),
-                    engine.record.count_places(now),
+                    engine.record.count_free_slots(now),
                     engine.record.count_loads_ahead(),
                     engine.record.measure_load_time(),
                 )
@@ -219,7 +219,7 @@
             deny(self._transport, message)
             return
         if message.is_missing:
-            engine.record.note_missing(model)
+            engine.record.record_missing(model)
         if engine.record.holds(model, message.least):
             version = engine.record.copies[model].version
             loaded = Loaded(message.endpoint, *model, version)
@@ -228,7 +228,9 @@
         if self._ledger.judge(lambda: self._identify(model)) is not None:
             deny(self._transport, message)
             return
-        if not engine.record.want(model, message.least, Urgency(*message.urgency), now):
+        if not engine.record.request_load(
+            model, message.least, Urgency(*message.urgency), now
+        ):
             deny(self._transport, message)
             return
         requesters = self._requesters.setdefault((message.endpoint, model), set())
@@ -241,7 +243,8 @@
         self._requesters = {
             (name, model): requesters
             for (name, model), requesters in self._requesters.items()
-            if name in self.engines and self.engines[name].record.is_wanted(model)
+            if name in self.engines
+            and self.engines[name].record.is_load_requested(model)
         }
         for address, last_seen_at in list(self._subscribers.items()):
             if now - last_seen_at > SUBSCRIBER_TIMEOUT:
@@ -292,7 +295,7 @@
                 [[*model, held] for model, held in engine.record.list_held().items()],
             ]
             for name, engine in self.engines.items()
-            if engine.record.is_read
+            if engine.record.has_report
         ]
         return Listing(self._zone, self.fence, self._updates.serial, engines)
 
@@ -322,7 +325,7 @@
         """Record that an engine crashed: a load in flight may be the cause."""
         evidence = [
             CrashEvidence(self._identify(model), engine.endpoint.id, WEAK, 0.0)
-            for model in engine.record.list_arriving()
+            for model in engine.record.list_loading()
         ]
         self._ledger.record_evidence(evidence)
 
@@ -340,7 +343,7 @@
             model=str(model),
             reason=reason.value,
             held=record.count_copies(CopyState.HELD),
-            arriving=record.count_copies(CopyState.ARRIVING),
+            arriving=record.count_copies(CopyState.LOADING),
             in_use=record.usage.count_used(),
             running=record.usage.count_running(),
         )
--- a/roadlift/organisations/freshness.py
+++ b/roadlift/organisations/freshness.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-from roadlift.serving.position import NOWHERE, StorePosition
+from roadlift.serving.position import ZERO_POSITION, StorePosition
 
 
 class RelayedState(NamedTuple):
@@ -29,7 +29,7 @@
     """As of when all rows are known here, in seconds of this process."""
 
     def __init__(self) -> None:
-        self._position = NOWHERE
+        self._position = ZERO_POSITION
         self._settled_at = float("-inf")
         self._pending: RelayedState | None = None
         self.known_at = float("-inf")
--- a/roadlift/serving/copies.py
+++ b/roadlift/serving/copies.py
@@ -1,35 +1,36 @@
-"""Know where a copy of an adapter at an engine stands."""
+"""Track the state of an adapter's copy at an engine."""
 
 import enum
 
-NEXT_POLL = 0.01  # Seconds between the first and the second asking.
+FIRST_POLL_INTERVAL = 0.01  # Seconds between the first and the second poll.
 
 
 class CopyState(enum.Enum):
-    """Where a copy of an adapter stands.
+    """The state of an adapter's copy.
 
-    LEAVING and REPLACING wait for the runs on the copy to end; until then
-    the engine takes no order but the one that is repeated.
+    UNLOADING and REPLACING wait for the calls that run on the copy to end.
+    Until then the engine accepts no order but a repetition of this one.
     """
 
-    ARRIVING = "arriving"
+    LOADING = "loading"
     HELD = "held"
-    LEAVING = "leaving"
+    UNLOADING = "unloading"
     REPLACING = "replacing"
 
 
 class Copy:
     """A copy of an adapter at the engine.
 
-    ``version`` is the one held, ``target`` the one ordered.
+    ``version`` is the version held, ``target`` the version ordered;
+    ``is_reload`` is set if the engine held the adapter before.
     """
 
     __slots__ = (
         "failed_polls",
         "is_outdated",
-        "is_return",
+        "is_reload",
         "poll_at",
-        "poll_pause",
+        "poll_interval",
         "polls",
         "since",
         "state",
@@ -43,8 +44,8 @@
         self.target = version
         self.since = now
         self.is_outdated = False
-        self.is_return = False
+        self.is_reload = False
         self.poll_at = now
-        self.poll_pause = NEXT_POLL
+        self.poll_interval = FIRST_POLL_INTERVAL
         self.polls = 0
         self.failed_polls = 0
--- a/roadlift/serving/eras.py
+++ b/roadlift/serving/eras.py
@@ -1,9 +1,9 @@
-"""Know in which era of the store this process is.
+"""Track the era of the store.
 
-The store loses nothing that it has acknowledged, but where it comes back from
-an older copy of itself; then its era rises, and what was derived from versions
-of the era before says nothing any more. Answers overtake each other: one of an
-era that is over is void, whatever it says.
+The store loses no acknowledged write, except when it is restored from an older
+copy of itself. Then its era rises, and what was derived from versions of the
+earlier era is no longer valid. Answers may arrive out of order: one of an
+earlier era is ignored, whatever its content.
 """
 
 from collections.abc import Callable
@@ -12,8 +12,11 @@
 from roadlift.serving.position import FIRST_ERA, StorePosition
 
 
-class StoreReturn(NamedTuple):
-    """That the store came back older: its eras, and what told of it."""
+class StoreRestore(NamedTuple):
+    """A restore of the store from an older copy.
+
+    ``before`` and ``era`` are its eras, ``source`` the call that showed it.
+    """
 
     before: int
     era: int
@@ -21,29 +24,29 @@
 
 
 class StoreEras:
-    """The newest era that an answer of the store told.
+    """The newest era seen in an answer of the store.
 
-    ``on_return`` is called once for each return that is learned of, before
-    the answer that told it is passed on.
+    The listeners in ``on_restore`` are called once for each restore that is
+    detected, before the answer that showed it is delivered.
     """
 
     def __init__(self) -> None:
         self._is_known = False
         self.newest = FIRST_ERA
-        self.on_return: list[Callable[[StoreReturn], None]] = []
+        self.on_restore: list[Callable[[StoreRestore], None]] = []
 
-    def note(self, era: int, source: str) -> bool:
-        """Learn the era of an answer; False means that it is over."""
+    def record_era(self, era: int, source: str) -> bool:
+        """Record the era of an answer; return whether it is the newest."""
         if not self._is_known:
             self._is_known = True
             self.newest = era
         if era > self.newest:
-            told = StoreReturn(self.newest, era, source)
+            found = StoreRestore(self.newest, era, source)
             self.newest = era
-            for listener in list(self.on_return):
-                listener(told)
+            for listener in list(self.on_restore):
+                listener(found)
         return era == self.newest
 
     def is_current(self, position: StorePosition) -> bool:
-        """Tell whether a position is of the era that the store is in."""
+        """Return whether a position is of the newest era."""
         return position.era == self.newest
--- a/roadlift/serving/members.py
+++ b/roadlift/serving/members.py
@@ -1,4 +1,4 @@
-"""Keep what the subscribers of an aggregator told of their calls."""
+"""Track the calls that the subscribers of an aggregator report."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -6,8 +6,8 @@
 from roadlift.serving.calls import Model
 
 
-class Place(NamedTuple):
-    """Where calls run: an adapter at an engine of a zone."""
+class UsageKey(NamedTuple):
+    """An adapter at an engine of a zone, where calls run."""
 
     zone: str
     endpoint: str
@@ -15,37 +15,41 @@
 
 
 class UseChange(NamedTuple):
-    """Calls that began at a place, and how many more or fewer run there."""
+    """A change of an adapter's calls at an engine.
 
-    place: Place
+    ``begun`` counts the calls that began; ``change`` is the difference in the
+    number of running calls.
+    """
+
+    key: UsageKey
     begun: int
     change: int
 
 
 class MemberCalls:
-    """The running calls and unread prompts of each subscriber."""
+    """The running calls and unread prompt tokens of each subscriber."""
 
     def __init__(self) -> None:
-        self._running: dict[str, dict[Place, int]] = {}
+        self._running: dict[str, dict[UsageKey, int]] = {}
         self._reading: dict[str, dict[tuple[str, str], int]] = {}
         self._tokens: Counter[str] = Counter()
 
-    def note_uses(self, member: str, zone: str, uses: list) -> list[UseChange]:
-        """Take the uses of a telling; return what changed by them."""
+    def apply_uses(self, member: str, zone: str, uses: list) -> list[UseChange]:
+        """Apply the uses in a usage report; return the resulting changes."""
         running = self._running.setdefault(member, {})
         changes = []
         for endpoint, base, adapter, begun, count in uses:
-            place = Place(zone, endpoint, Model(base, adapter))
-            change = count - running.get(place, 0)
-            changes.append(UseChange(place, begun, change))
+            key = UsageKey(zone, endpoint, Model(base, adapter))
+            change = count - running.get(key, 0)
+            changes.append(UseChange(key, begun, change))
             if count:
-                running[place] = count
+                running[key] = count
             else:
-                running.pop(place, None)
+                running.pop(key, None)
         return changes
 
     def note_reading(self, member: str, zone: str, endpoint: str, tokens: int) -> None:
-        """Learn how many prompt tokens of a member are unread at an engine."""
+        """Record a member's number of unread prompt tokens at an engine."""
         reading = self._reading.setdefault(member, {})
         key = (zone, endpoint)
         self._tokens[endpoint] += tokens - reading.get(key, 0)
@@ -57,17 +61,17 @@
             del self._tokens[endpoint]
 
     def count_reading(self, endpoint: str) -> int:
-        """Return the unread prompt tokens at an engine, of all members."""
+        """Return the number of unread prompt tokens at an engine."""
         return self._tokens[endpoint]
 
-    def list_readers(self, member: str) -> list[tuple[str, str]]:
-        """Return the [zone, engine] where a member's prompts are unread."""
+    def list_reading(self, member: str) -> list[tuple[str, str]]:
+        """Return the (zone, engine) pairs with unread prompts of a member."""
         return list(self._reading.get(member, ()))
 
     def forget(self, member: str) -> list[UseChange]:
-        """Drop what a member told; return what changed by that."""
-        for zone, endpoint in self.list_readers(member):
+        """Drop a member's reports; return the resulting changes."""
+        for zone, endpoint in self.list_reading(member):
             self.note_reading(member, zone, endpoint, 0)
         self._reading.pop(member, None)
         running = self._running.pop(member, {})
-        return [UseChange(place, 0, -count) for place, count in running.items()]
+        return [UseChange(key, 0, -count) for key, count in running.items()]
--- a/tests/steps/decision_steps.py
+++ b/tests/steps/decision_steps.py
@@ -14,8 +14,8 @@
 from roadlift.relay.upstream import Address
 from roadlift.serving.calls import Model
 from roadlift.serving.directory import Endpoint
-from roadlift.serving.engine import EngineBook
-from roadlift.serving.loads import BaseLoads, LoadTimes
+from roadlift.serving.engine import EngineRecord
+from roadlift.serving.loads import BaseLoadLimiter, LoadTimes
 from roadlift.serving.orders import Action, EngineReport, OrderResult
 
 _SOURCES = {source.value: source for source in AdapterSource}
@@ -253,8 +253,8 @@
 def step_random_requests(context, slots, seed):
     """Drive the record of an engine that carries out each order in 10 ms."""
     rng = random.Random(seed)
-    book = EngineBook(slots, ("base",), LoadTimes(), BaseLoads(0.0))
-    book.take_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
+    book = EngineRecord(slots, ("base",), LoadTimes(), BaseLoadLimiter(0.0))
+    book.apply_report(EngineReport(0, ("base",), (), (), False, 0, 0), 0.0)
     context.slots, context.waits, context.max_copies = slots, [], 0
     wanted, ends = {}, {}
     for step in range(3000):
@@ -265,14 +265,14 @@
             urgency = Urgency(rng.randrange(2), rng.uniform(-0.2, 0.6), rng.random())
             if book.holds(model, 0):
                 _begin_call(book, ends, model, now + rng.expovariate(1.0), now)
-            elif book.want(model, 0, urgency, now):
+            elif book.request_load(model, 0, urgency, now):
                 wanted.setdefault(model, now)
         for model in list(wanted):
-            if book.is_wanted(model):
-                book.want(model, 0, Urgency(0), now)
+            if book.is_load_requested(model):
+                book.request_load(model, 0, Urgency(0), now)
         plan = book.plan(now)
         if plan is not None:
-            book.note_result(plan, OrderResult.DONE, now)
+            book.record_result(plan, OrderResult.DONE, now)
             if plan.action is Action.LOAD and plan.model in wanted:
                 context.waits.append(now - wanted.pop(plan.model))
                 _begin_call(book, ends, plan.model, now + rng.expovariate(1.0), now)
@@ -285,9 +285,9 @@
 
 
 def _begin_call(book, ends, model, end, now):
-    book.note_use(model, 1, now)
+    book.record_use(model, 1, now)
     ends.setdefault(model, []).append(end)
-    book.usage.note_running("i", model, len(ends[model]))
+    book.usage.record_running("i", model, len(ends[model]))
 
 
 def _end_calls(book, ends, now):
@@ -295,7 +295,7 @@
         left = [end for end in times if end > now]
         if len(left) != len(times):
             ends[model] = left
-            book.usage.note_running("i", model, len(left))
+            book.usage.record_running("i", model, len(left))
 
 
 @then("each was loaded or denied within a second")
