--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -1,4 +1,4 @@
-"""Hear an aggregator, as an instance does that owns nothing."""
+"""Exchange messages with an aggregator, as an instance without a zone does."""
 
 import zlib
 from collections.abc import Callable
@@ -25,79 +25,80 @@
 from roadlift.serving.position import NOWHERE, StorePosition
 from roadlift.serving.telling import WholeTelling
 
-BEAT_PERIOD = 0.25  # Seconds between heartbeats that ask for a reply.
-PROBE_PERIOD = 1.0  # Seconds between looks whether others live.
-# Seconds between heartbeats where calls have begun or ended since, for each
-# subscriber of the aggregator, and at most.
+BEAT_PERIOD = 0.25  # Seconds between heartbeats that request a reply.
+PROBE_PERIOD = 1.0  # Seconds between probes of other aggregators.
+# Seconds between heartbeats after calls have begun or ended, per subscriber of
+# the aggregator, and the maximum in total.
 TELL_PERIOD = 0.004
 MOST_TELL_PERIOD = 0.25
-# Seconds behind the start in which the operator's rows are read from the store
-# alone; behind them an aggregator passes them on.
+# Seconds after the start in which the operator's rows are read only from the
+# store; after that, an aggregator relays them.
 OWN_READ = 1.0
 
 log = PartLog("subscription")
 
 
 class SourceStream:
-    """What an aggregator tells this process, and what it tells it.
+    """Receives updates from an aggregator, and sends it usage reports.
 
-    ``collect`` returns the WholeTelling, ``doubt`` has it tell all next.
+    ``collect`` returns the report as a ``WholeTelling``;
+    ``request_full_report`` makes the next report a full one.
     """
 
     def __init__(
         self,
         kernel: Kernel,
         collect: Callable[[], WholeTelling],
-        doubt: Callable[[], None],
+        request_full_report: Callable[[], None],
     ) -> None:
         self._kernel = kernel
         self._transport = kernel.get(Transport)
         self._knowledge = kernel.get(Knowledge)
         self._leases = kernel.get(Leases)
         self._follower = kernel.get(Follower)
-        self._collect = collect
-        self._doubt = doubt
+        self._collect_report = collect
+        self._request_full_report = request_full_report
         self._sources = Sources(self._order_zones())
         self._is_open = False
         self._stream = 0
         self._serial = 0
         self._list_serial = 0
         self._last_serial = 0
-        self._is_passing_over = False
+        self._is_ignoring_lists = False
         self._members = 1
         self._beat_at = float("-inf")
         self._probe_at = float("-inf")
         self._started_at = kernel.clock.now()
         self._timer: Timer | None = None
-        self._transport.subscribe((HeartbeatReply,), self._take_reply)
-        self._transport.subscribe((Digest,), self._take_digest)
-        self._transport.subscribe((Snapshot,), self._take_snapshot)
-        self._transport.subscribe((ListNews,), self._take_list_news)
-        self._transport.subscribe((OperatorNews,), self._take_operator_news)
+        self._transport.subscribe((HeartbeatReply,), self._handle_reply)
+        self._transport.subscribe((Digest,), self._handle_digest)
+        self._transport.subscribe((Snapshot,), self._handle_snapshot)
+        self._transport.subscribe((ListNews,), self._handle_list_update)
+        self._transport.subscribe((OperatorNews,), self._handle_operator_update)
 
     def _order_zones(self) -> list[str]:
-        """Return the zones, the own first, the others as a hash has them."""
-        own = self._kernel.settings.zone
+        """Return the local zone, then the remote zones ordered by a hash."""
+        local = self._kernel.settings.zone
         peer = self._kernel.settings.peer
         rank = lambda zone: zlib.crc32(f"{peer} {zone}".encode())
-        others = [zone for zone in self._leases.list_zones() if zone != own]
-        return [own, *sorted(others, key=rank)]
+        remote = [zone for zone in self._leases.list_zones() if zone != local]
+        return [local, *sorted(remote, key=rank)]
 
     @property
     def address(self) -> str:
-        """Return the address of the aggregator that is heard, or empty."""
+        """Return the address of the aggregator in use, or an empty string."""
         return self._sources.current
 
     def open(self) -> None:
-        """Begin to hear an aggregator."""
+        """Start receiving updates from an aggregator."""
         self._is_open = True
         self._sources.current = ""
         self._forget_stream()
 
     def close(self) -> None:
-        """Hear none any more."""
+        """Unsubscribe, and stop receiving updates."""
         if self._is_open:
-            self._leave(self._sources.current)
+            self._unsubscribe(self._sources.current)
         self._is_open = False
         if self._timer is not None:
             self._timer.close()
@@ -105,17 +106,17 @@
 
     def _forget_stream(self) -> None:
         self._stream = self._serial = self._list_serial = self._last_serial = 0
-        self._doubt()
+        self._request_full_report()
 
     def tick(self) -> None:
-        """Choose the aggregator, and send what is due."""
+        """Choose the aggregator; send heartbeats and probes that are due."""
         now = self._kernel.clock.now()
         before = self._sources.current
         candidates = self._list_candidates()
         address = self._sources.choose(candidates, now)
         if address != before:
             log.event("source_chosen", address=address, before=before)
-            self._leave(before)
+            self._unsubscribe(before)
             self._forget_stream()
             self._beat_at = float("-inf")
         if now - self._beat_at >= BEAT_PERIOD - TELL_PERIOD:
@@ -126,8 +127,8 @@
             self._leases.note_members(self._members)
 
     def _list_candidates(self) -> dict[str, Candidate]:
-        """Return the owners that are known, by zone."""
-        ages = {one.zone: one.list_age for one in self._knowledge.list_signs()}
+        """Return the known owners by zone."""
+        ages = {owner.zone: owner.list_age for owner in self._knowledge.list_signs()}
         found = {}
         for zone in self._leases.list_zones():
             address = self._leases.find_owner(zone)
@@ -137,26 +138,26 @@
         return found
 
     def _probe_others(self, candidates: dict[str, Candidate], now: float) -> None:
-        """Ask for a sign of the aggregators that may be heard next."""
+        """Probe the aggregators that may be chosen next."""
         if now - self._probe_at < PROBE_PERIOD:
             return
         self._probe_at = now
         for address in self._sources.list_others(candidates):
             self._send(address, WholeTelling(0, False, []), True, now)
 
-    def _leave(self, address: str) -> None:
-        """Tell an aggregator that this process subscribes no more."""
+    def _unsubscribe(self, address: str) -> None:
+        """Unsubscribe from an aggregator."""
         if address:
             self._send(address, WholeTelling(0, False, []), True, 0.0)
 
     def plan(self) -> None:
-        """Tell the aggregator of calls before long."""
+        """Schedule a heartbeat that reports calls, unless one is scheduled."""
         if self._is_open and self._timer is None:
             period = min(MOST_TELL_PERIOD, TELL_PERIOD * self._members)
             self._timer = self._kernel.loop.call_later(period, lambda: self.beat(False))
 
     def beat(self, wants_reply: bool) -> None:
-        """Send a heartbeat."""
+        """Send a heartbeat with a usage report."""
         if self._timer is not None:
             self._timer.close()
             self._timer = None
@@ -166,16 +167,17 @@
         if wants_reply:
             self._beat_at = now
         at = now if wants_reply else 0.0
-        is_sent = self._send(self._sources.current, self._collect(), False, at)
+        is_sent = self._send(self._sources.current, self._collect_report(), False, at)
         if not is_sent:
-            # The way is being opened; what was told is lost with the message.
-            self._doubt()
+            # The connection is still being opened. The message was dropped,
+            # and its report with it.
+            self._request_full_report()
             self._beat_at = float("-inf")
 
     def _send(
-        self, address: str, telling: WholeTelling, is_probe: bool, at: float
+        self, address: str, report: WholeTelling, is_probe: bool, at: float
     ) -> bool:
-        """Send a heartbeat; False means that it was dropped."""
+        """Send a heartbeat; return False if it was dropped."""
         is_candidate = self._leases.is_candidate and self._follower.is_reachable
         heartbeat = Heartbeat(
             self._kernel.settings.peer,
@@ -187,21 +189,24 @@
             self._serial,
             self._serial < self._last_serial,
             self._list_serial,
-            self._measure_operator_place(),
+            self._compute_operator_position(),
             at,
-            *telling,
+            *report,
         )
         return self._transport.send(address, heartbeat)
 
-    def _measure_operator_place(self) -> int:
-        """Return the newest row known, or -1 while all are being read."""
+    def _compute_operator_position(self) -> int:
+        """Return the packed position of the newest known operator's row.
+
+        It is -1 while all rows are still being read.
+        """
         position = self._follower.operator_position
         is_reading = self._kernel.clock.now() - self._started_at < OWN_READ
         return -1 if position == NOWHERE and is_reading else position.pack()
 
-    # What aggregators tell.
+    # Messages from aggregators.
 
-    def _take_reply(self, sender: str, reply: HeartbeatReply) -> None:
+    def _handle_reply(self, sender: str, reply: HeartbeatReply) -> None:
         if not self._is_open:
             return
         for fields in reply.owners:
@@ -218,7 +223,7 @@
         self._members = max(1, reply.members)
         self._knowledge.note_instances("", reply.instances)
         if not reply.is_complete:
-            self._doubt()
+            self._request_full_report()
             self.plan()
         if reply.asked_at:
             known = StorePosition.unpack(reply.operator_place)
@@ -229,13 +234,14 @@
             listed = StorePosition.unpack(reply.list_place)
             self._follower.note_state(listed, age, reply.asked_at)
 
-    def _take_digest(self, sender: str, digest: Digest) -> None:
+    def _handle_digest(self, sender: str, digest: Digest) -> None:
         if not self._is_open or digest.stream != self._stream:
             return
         if digest.serial <= self._serial:
             return
         if digest.since <= self._serial:
-            # Behind a gap the serial stays, so that what lacks is sent.
+            # After a gap the serial stays, so that the aggregator sends the
+            # missing updates.
             self._serial = digest.serial
         self._last_serial = max(self._last_serial, digest.serial)
         if digest.loads:
@@ -244,34 +250,35 @@
         if changes:
             self._knowledge.take_changes(changes)
 
-    def _take_snapshot(self, sender: str, snapshot: Snapshot) -> None:
+    def _handle_snapshot(self, sender: str, snapshot: Snapshot) -> None:
         if not self._is_open or snapshot.stream != self._stream:
             return
         self._serial = max(self._serial, snapshot.serial)
         self._knowledge.take_loads(snapshot.loads)
         self._knowledge.take_listing(snapshot.engines)
 
-    def _take_list_news(self, sender: str, news: ListNews) -> None:
-        if not self._is_open or news.stream != self._stream:
+    def _handle_list_update(self, sender: str, update: ListNews) -> None:
+        if not self._is_open or update.stream != self._stream:
             return
-        if StorePosition.unpack(news.place) < self._follower.list_position:
-            # An aggregator that is cut from the store knows less than this.
-            self._log_passed_over(news)
+        if StorePosition.unpack(update.place) < self._follower.list_position:
+            # An aggregator that cannot reach the store has an older list.
+            self._log_ignored_list(update)
             return
-        self._is_passing_over = False
-        if news.is_whole or news.serial == self._list_serial + 1:
-            # Behind a gap the next heartbeat brings the whole list.
-            self._list_serial = news.serial
-            self._follower.relay_list(news)
+        self._is_ignoring_lists = False
+        if update.is_whole or update.serial == self._list_serial + 1:
+            # After a gap the next heartbeat makes the aggregator send the
+            # full list.
+            self._list_serial = update.serial
+            self._follower.relay_list(update)
 
-    def _log_passed_over(self, news: ListNews) -> None:
-        """Tell of the first list of a row that is older than the own one."""
-        if not self._is_passing_over:
-            self._is_passing_over = True
-            told = StorePosition.unpack(news.place)
+    def _log_ignored_list(self, update: ListNews) -> None:
+        """Log the first of several lists that are older than the local one."""
+        if not self._is_ignoring_lists:
+            self._is_ignoring_lists = True
+            received = StorePosition.unpack(update.place)
             known = self._follower.list_position
-            log.event("list_passed_over", told=list(told), known=list(known))
+            log.event("list_passed_over", told=list(received), known=list(known))
 
-    def _take_operator_news(self, sender: str, news: OperatorNews) -> None:
-        if self._is_open and news.stream == self._stream:
-            self._follower.relay_operator(news)
+    def _handle_operator_update(self, sender: str, update: OperatorNews) -> None:
+        if self._is_open and update.stream == self._stream:
+            self._follower.relay_operator(update)
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -1,7 +1,8 @@
-"""Tell the owners of this process's calls, and hear of their engines.
+"""Report this process's calls to the owners, and receive engine updates.
 
-An instance that owns a zone hears the owners themselves and speaks for its
-subscribers as well; any other hears an aggregator.
+An instance that owns a zone exchanges messages with the owners directly and
+reports on behalf of its subscribers too. Every other instance exchanges
+messages with an aggregator.
 """
 
 from roadlift.core.kernel import Kernel, parts
@@ -16,12 +17,12 @@
 from roadlift.serving.messages import Ask, Denial, Heartbeat
 from roadlift.serving.telling import Tellings
 
-TICK = 0.1  # Seconds between looks at what is to be told.
+TICK = 0.1  # Seconds between checks for reports that are due.
 
 
 @parts.register("subscription")
 class Subscription:
-    """The way between this process and the owners."""
+    """Exchanges reports and updates with the owners or with an aggregator."""
 
     name = "subscription"
     needs = ("follower", "knowledge", "leases", "transport")
@@ -31,18 +32,18 @@
         self._transport = kernel.get(Transport)
         self._knowledge = kernel.get(Knowledge)
         self._leases = kernel.get(Leases)
-        self._tellings = Tellings()
+        self._usage_reports = Tellings()
         self._members = MemberCalls()
         self._owners = OwnerStreams(
             kernel,
-            lambda zone: self._tellings.collect(zone, self._count_reading),
-            self._tellings.doubt,
+            lambda zone: self._usage_reports.collect(zone, self._count_reading),
+            self._usage_reports.doubt,
             lambda: 1 + self.count_members(),
         )
         self._source = SourceStream(
             kernel,
-            lambda: self._tellings.collect_all(self._count_reading),
-            self._tellings.doubt_aggregator,
+            lambda: self._usage_reports.collect_all(self._count_reading),
+            self._usage_reports.doubt_aggregator,
         )
         self._is_direct = False
         self._timer = None
@@ -50,19 +51,19 @@
         self._leases.on_change.append(lambda zone: self._tick())
 
     def start(self) -> None:
-        """Begin to tell and to hear."""
+        """Start sending reports and receiving updates."""
         self._source.open()
         self._timer = self._kernel.loop.call_every(TICK, self._tick)
 
     def close(self) -> None:
-        """Tell no more."""
+        """Stop sending reports and receiving updates."""
         self._timer.close()
         self._owners.close()
         self._source.close()
 
     @property
     def source(self) -> str:
-        """Return the address of the aggregator that is heard, or empty."""
+        """Return the address of the aggregator in use, or an empty string."""
         return "" if self._is_direct else self._source.address
 
     def _tick(self) -> None:
@@ -76,8 +77,8 @@
             self._source.tick()
 
     def _switch(self) -> None:
-        """Hear the owners in place of an aggregator, or the reverse."""
-        self._tellings.doubt_all()
+        """Switch from an aggregator to the owners, or the reverse."""
+        self._usage_reports.doubt_all()
         if self._is_direct:
             self._source.close()
             self._owners.open()
@@ -85,33 +86,33 @@
             self._owners.close()
             self._source.open()
 
-    # Own calls.
+    # Local calls.
 
     def note_use(self, endpoint: Endpoint, model: Model, change: int) -> None:
         """Count a call of this process that begins (1) or ends (-1)."""
         begun = max(0, change)
-        self._tellings.note_use(endpoint.zone, endpoint.id, model, begun, change)
-        self._plan(endpoint.zone)
+        self._usage_reports.note_use(endpoint.zone, endpoint.id, model, begun, change)
+        self._schedule(endpoint.zone)
 
     def note_reading(self, endpoint: Endpoint) -> None:
-        """Learn that the unread prompts of this process's calls changed."""
-        self._tellings.note_reading(endpoint.zone, endpoint.id)
-        self._plan(endpoint.zone)
+        """Record that the unread prompt tokens of local calls have changed."""
+        self._usage_reports.note_reading(endpoint.zone, endpoint.id)
+        self._schedule(endpoint.zone)
 
-    def _plan(self, zone: str) -> None:
+    def _schedule(self, zone: str) -> None:
         if self._is_direct:
             self._owners.plan(zone)
         else:
             self._source.plan()
 
     def _count_reading(self, endpoint: str) -> int:
-        own = self._knowledge.workload.count_own_reading(endpoint)
-        return own + self._members.count_reading(endpoint)
+        local = self._knowledge.workload.count_own_reading(endpoint)
+        return local + self._members.count_reading(endpoint)
 
     def send_ask(self, ask: Ask) -> None:
-        """Ask for an adapter, on the way that tellings go.
+        """Send a load request to the zone's owner or to the aggregator.
 
-        Where there is none, it is denied at once.
+        If neither is known, the request is denied immediately.
         """
         owner = self._leases.find_owner(ask.zone)
         address = owner if self._is_direct else self._source.address
@@ -121,27 +122,27 @@
         denial = Denial(ask.zone, ask.endpoint, ask.base, ask.adapter)
         self._transport.send(ask.address, denial)
 
-    # The calls of subscribers, where this process is an aggregator.
+    # Calls of subscribers, if this process is an aggregator.
 
     def note_member(self, heartbeat: Heartbeat) -> None:
-        """Take what a subscriber tells of its calls."""
+        """Record the calls that a subscriber reports in its heartbeat."""
         member = heartbeat.address
         if heartbeat.is_whole:
             self.forget_member(member)
         for zone, uses, reading in heartbeat.zones:
-            self._take_changes(self._members.note_uses(member, zone, uses))
+            self._apply_changes(self._members.note_uses(member, zone, uses))
             for endpoint, tokens in reading:
                 self._members.note_reading(member, zone, endpoint, tokens)
-                self._tellings.note_reading(zone, endpoint)
+                self._usage_reports.note_reading(zone, endpoint)
             self._owners.plan(zone)
 
     def forget_member(self, member: str) -> None:
-        """Drop what a subscriber told of its calls."""
+        """Remove the calls that a subscriber reported."""
         for zone, endpoint in self._members.list_readers(member):
-            self._tellings.note_reading(zone, endpoint)
-        self._take_changes(self._members.forget(member))
+            self._usage_reports.note_reading(zone, endpoint)
+        self._apply_changes(self._members.forget(member))
 
-    def _take_changes(self, changes: list[UseChange]) -> None:
-        for place, begun, change in changes:
-            self._tellings.note_use(*place, begun, change)
-            self._owners.plan(place.zone)
+    def _apply_changes(self, changes: list[UseChange]) -> None:
+        for location, begun, change in changes:
+            self._usage_reports.note_use(*location, begun, change)
+            self._owners.plan(location.zone)
