--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -1,7 +1,8 @@
 """Follow the platform's state: configuration, adapter versions, endpoints.
 
-The operator's table changes seldom and is followed by long polls. The list of
-endpoints changes with every heartbeat, so its changes are read on a timer.
+The operator's table changes rarely and is followed by long polls. The list of
+endpoints changes with every heartbeat of an endpoint, so its changes are read
+at a fixed interval.
 """
 
 from collections.abc import Callable, Iterable
@@ -28,32 +29,33 @@
 from roadlift.serving.position import NOWHERE, StorePosition
 from roadlift.serving.routes import Configuration, RouteTable
 
-# Seconds that a poll waits at the store. A path can fall silent without a
-# reset: a poll begun just before is given up after these, the store's timeout
-# of 0.7 s and RETRY_PAUSE, and the next one brings the change within the 3 s
-# that are allowed behind the loss of a path. With 3.0 it came 3.9 s late.
+# Seconds that a poll waits at the store. A connection can go silent without a
+# reset. A poll that began just before fails after this time plus the store's
+# timeout of 0.7 s. After the retry delay, the next poll brings the change,
+# within the 3 s that are allowed after the loss of a connection. With 3.0, the
+# change arrived after 3.9 s.
 OPERATOR_WAIT = 1.5
-# Seconds between reads of the list. Two fit into the two seconds after which
-# no call may reach an endpoint that drains; each read is a priced call.
+# Seconds between reads of the list. Two reads fit into the two seconds after
+# which no call may reach a draining endpoint; each read is a billed call.
 DIRECTORY_PERIOD = 0.7
-# Seconds behind an aggregator's read of the list until which its subscribers
-# need not read by themselves: two periods of its reads. They then learn of an
-# endpoint that leaves within 1.7 s, and the platform allows 2.
+# Seconds after an aggregator's read of the list during which its subscribers
+# need not read it: twice the interval between its reads. Subscribers then
+# learn that an endpoint is draining within 1.7 s; the platform allows 2 s.
 RELAY_LIMIT = 1.4
-# Seconds behind the news of an operator's row in which its aggregator passes
-# it on. Behind them an instance reads the table itself.
+# Seconds after the announcement of an operator's row within which the
+# aggregator is expected to relay it. After that, an instance reads the table.
 OPERATOR_GRACE = 0.6
-# Subscribers of one aggregator that read the store, as far as possible, while
-# it can't: more would take up what the store bears.
+# Approximate maximum number of subscribers of one aggregator that read the
+# store while the aggregator cannot: more would use up the store's capacity.
 MOST_READERS = 4
-# Seconds between the reads of one that reaches the store, at most. The store
-# may turn just the aggregators away: lists of their 24 subscribers were then
-# 5 s old, and calls reached endpoints 3.5 s after they had left.
+# Maximum seconds between the reads of a subscriber that reaches the store. The
+# store may reject only the aggregators: the lists of their 24 subscribers were
+# then 5 s old, and calls reached endpoints 3.5 s after they had left.
 LONGEST_TURN = 1.2
-# Parts of the time for which a revoked key may still be served: seconds that a
-# poll waits at the store at most, so that what is passed on is never older
-# than a third of that time, and seconds behind which an instance reads the
-# table itself, whoever else may read it.
+# Fractions of the time for which a revoked key may still be served. The first
+# limits how long a poll waits at the store, so that relayed state is never
+# older than a third of that time. The second is the age after which an
+# instance reads the table itself, whether or not others read it.
 POLL_PART = 0.15
 OLD_PART = 0.45
 
@@ -78,14 +80,14 @@
         self.directory = Directory()
         self.versions: dict[Model, int] = {}
         self.is_reader = lambda: True
-        self._relayed_until = 0.0
-        self._heard_until = 0.0
+        self._relay_valid_until = 0.0
+        self._source_alive_until = 0.0
         self._members = 1
         self._operator_target = NOWHERE
         self._grace_until = 0.0
         self._settled_at = 0.0
         self._era: int | None = None
-        self._configured_at = NOWHERE
+        self._configured_position = NOWHERE
         self.operator_position = NOWHERE
         self.freshness = Freshness()
         self.keys: KeyTable | None = None
@@ -94,37 +96,37 @@
         self.on_version: list[Callable[[Model, int], None]] = []
         self.on_directory: list[Callable[[], None]] = []
         self.on_operator: list[Callable[[StorePosition], None]] = []
-        kernel.get(Platform).store.eras.on_return.append(self._note_store_return)
+        kernel.get(Platform).store.eras.on_return.append(self._handle_store_return)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether enough is known to serve calls."""
+        """Return whether enough is known to serve calls."""
         return self.configuration is not None and self.directory.is_known
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether the store answered every table's last read."""
+        """Return whether the store answered the last read of every table."""
         return all(reader.is_reachable for reader in self._readers)
 
     def start(self) -> None:
-        """Begin to follow the tables."""
+        """Start following the tables."""
         operator = TableReader(
             self._kernel,
             self._format.operator_table,
-            self._measure_operator_wait,
+            self._compute_operator_wait,
             0.0,
-            self._take_operator,
+            self._handle_operator,
             lambda: None,
-            self._may_rest_operator,
+            self._may_pause_operator,
         )
         directory = TableReader(
             self._kernel,
             self._format.directory_table,
             lambda: 0.0,
             DIRECTORY_PERIOD,
-            self._take_directory,
-            self._note_return,
-            self._may_rest_directory,
+            self._handle_directory,
+            self._handle_reachable,
+            self._may_pause_directory,
         )
         self._readers = [operator, directory]
         for reader in self._readers:
@@ -132,21 +134,21 @@
         self._timer = self._kernel.loop.call_every(DIRECTORY_PERIOD, self._expire)
 
     def close(self) -> None:
-        """Follow no more."""
+        """Stop following the tables."""
         self._timer.close()
         for reader in self._readers:
             reader.close()
 
     @property
     def list_position(self) -> StorePosition:
-        """Return the store's position as of which the list is known here."""
+        """Return the store's position up to which the list is known."""
         return self._readers[1].position
 
     def note_state(
         self, list_position: StorePosition, list_age: float, asked_at: float
     ) -> None:
-        """Learn how far an aggregator, whose list is known here, has read."""
-        self._relayed_until = asked_at + RELAY_LIMIT - list_age
+        """Record up to where an aggregator, whose list is known, has read."""
+        self._relay_valid_until = asked_at + RELAY_LIMIT - list_age
         if self._readers[1].is_resting:
             self._readers[1].skip_to(list_position)
             self._readers[1].answered_at = asked_at - list_age
@@ -154,12 +156,13 @@
     def note_operator_state(
         self, position: StorePosition, age: float, asked_at: float
     ) -> None:
-        """Learn how far an aggregator knows the operator's rows, as of when.
+        """Record up to where an aggregator knows the operator's rows.
 
-        ``age`` is in seconds as of when it answered what it was asked at
-        ``asked_at``, by this process's clock.
+        ``age`` is the age of that knowledge in seconds when the aggregator
+        replied; ``asked_at`` is when the reply was requested, by this
+        process's clock.
         """
-        self._note_era(position.era, "aggregator")
+        self._record_era(position.era, "aggregator")
         self.freshness.note_relay(RelayedState(position, asked_at - age))
         if position > self._operator_target:
             self._operator_target = position
@@ -170,98 +173,108 @@
         return self.freshness.measure_age(self._kernel.clock.now())
 
     def note_heard(self, until: float, members: int) -> None:
-        """Learn that an aggregator with so many subscribers lives.
+        """Record until when the aggregator counts as alive.
 
-        While its list is old, a few of them read the store.
+        ``members`` is the number of its subscribers. While its list is old,
+        only a few of them read the store.
         """
-        self._heard_until = until
+        self._source_alive_until = until
         self._members = members
 
-    def relay_operator(self, news: OperatorNews) -> None:
-        """Take rows of the operator's table from an aggregator."""
+    def relay_operator(self, update: OperatorNews) -> None:
+        """Apply rows of the operator's table that an aggregator relayed."""
         try:
-            rows = [unpack_row(fields) for fields in news.rows]
+            rows = [unpack_row(fields) for fields in update.rows]
         except MalformedMessage as error:
-            log.error("Rows of the operator are ignored: %s.", error)
+            log.error("Ignored malformed rows of the operator's table: %s.", error)
             return
-        self._take_rows(rows)
-        since = StorePosition.unpack(news.since)
+        self._apply_rows(rows)
+        since = StorePosition.unpack(update.since)
         if rows and since <= self.operator_position:
-            # Behind a gap the position stays, so that what lacks is sent.
-            self._note_operator_position(max(row.position for row in rows))
+            # After a gap the position stays, so that the aggregator sends the
+            # missing rows.
+            self._advance_operator_position(max(row.position for row in rows))
 
-    def relay_list(self, news: ListNews) -> None:
-        """Take an owner's news of the list of endpoints."""
+    def relay_list(self, update: ListNews) -> None:
+        """Apply changes of the endpoint list that an aggregator relayed."""
         before = self.directory.revision
-        for fields in news.changed:
-            self._log_change(decode_endpoint(fields), StorePosition.unpack(news.place))
-        self.directory.relay(news, self._kernel.clock.now())
-        self._tell_directory(before)
+        for fields in update.changed:
+            self._log_change(
+                decode_endpoint(fields), StorePosition.unpack(update.place)
+            )
+        self.directory.relay(update, self._kernel.clock.now())
+        self._notify_directory(before)
 
     def note_leaving(self, endpoint_id: str) -> bool:
-        """Learn that an endpoint said that it leaves; tell if that is new."""
+        """Record an endpoint's drain notice; return whether it is new."""
         before = self.directory.revision
         is_new = self.directory.note_leaving(endpoint_id)
-        self._tell_directory(before)
+        self._notify_directory(before)
         return is_new
 
     def is_relayed(self) -> bool:
-        """Tell whether an aggregator reads for this instance."""
-        return not self.is_reader() and self._kernel.clock.now() < self._relayed_until
+        """Return whether an aggregator reads the store for this instance."""
+        return (
+            not self.is_reader() and self._kernel.clock.now() < self._relay_valid_until
+        )
 
-    def _may_rest_directory(self) -> bool:
-        """Tell whether the list need not be read now."""
-        return self.is_relayed() or self._is_others_turn(1, DIRECTORY_PERIOD)
+    def _may_pause_directory(self) -> bool:
+        """Return whether the list need not be read now."""
+        return self.is_relayed() or self._is_left_to_others(1, DIRECTORY_PERIOD)
 
-    def _measure_operator_wait(self) -> float:
+    def _compute_operator_wait(self) -> float:
         """Return the seconds that a poll of the operator's table waits."""
         limit = self._kernel.settings.revoke_ms / 1000.0
         return min(OPERATOR_WAIT, limit * POLL_PART) if limit else OPERATOR_WAIT
 
     def _is_operator_old(self) -> bool:
-        """Tell whether calls with keys will soon be refused for their age."""
+        """Return whether the operator's rows are nearly too old to serve.
+
+        Calls with keys are refused beyond the limit.
+        """
         limit = self._kernel.settings.revoke_ms / 1000.0
         is_limited = bool(limit) and self.keys is not None
         return is_limited and self.measure_operator_age() > limit * OLD_PART
 
-    def _may_rest_operator(self) -> bool:
-        """Tell whether the operator's table need not be read now."""
+    def _may_pause_operator(self) -> bool:
+        """Return whether the operator's table need not be read now."""
         if self._is_operator_old():
             return False
         if not self.is_relayed():
-            return self._is_others_turn(0, OPERATOR_WAIT)
+            return self._is_left_to_others(0, OPERATOR_WAIT)
         is_current = self.operator_position >= self._operator_target
         return is_current or self._kernel.clock.now() < self._grace_until
 
-    def _is_others_turn(self, number: int, period: float) -> bool:
-        """Tell whether other subscribers of an aggregator read now."""
+    def _is_left_to_others(self, number: int, interval: float) -> bool:
+        """Return whether reading is left to other subscribers for now."""
         now = self._kernel.clock.now()
-        if self.is_reader() or now >= self._heard_until:
+        if self.is_reader() or now >= self._source_alive_until:
             return False
         reader = self._readers[number]
-        turn = period * self._members / MOST_READERS
+        pause = interval * self._members / MOST_READERS
         if reader.is_reachable:
-            turn = min(turn, LONGEST_TURN)
-        return now - reader.asked_at < turn
+            pause = min(pause, LONGEST_TURN)
+        return now - reader.asked_at < pause
 
     def measure_list_age(self) -> float:
-        """Return the seconds since the list of endpoints was read last."""
+        """Return the seconds since the list of endpoints was last read."""
         return self._kernel.clock.now() - self._readers[1].answered_at
 
     def find_version(self, model: Model) -> int:
         """Return the declared version of an adapter, or 0."""
         return self.versions.get(model, 0)
 
-    def _note_store_return(self, told: StoreReturn) -> None:
-        """Act on an answer of the store that tells of a newer era."""
-        self._note_era(told.before, told.source)
-        self._note_era(told.era, told.source)
+    def _handle_store_return(self, store_return: StoreReturn) -> None:
+        """Handle an answer of the store that reports a newer era."""
+        self._record_era(store_return.before, store_return.source)
+        self._record_era(store_return.era, store_return.source)
 
-    def _note_era(self, era: int, source: str) -> None:
-        """Learn of an era of the store, from its answers or an aggregator.
+    def _record_era(self, era: int, source: str) -> None:
+        """Record an era of the store, from its answers or an aggregator.
 
-        What it lost is written again within the grace. Until then it takes
-        nothing back that is in force, and nothing that it tells is fresh.
+        Rows that the store lost are written again within the grace period.
+        Until then, its rows replace nothing that is in force, and none of its
+        answers counts as fresh.
         """
         if self._era is not None and era > self._era:
             now = self._kernel.clock.now()
@@ -279,28 +292,28 @@
             )
         self._era = max(era, self._era or era)
 
-    def _note_return(self) -> None:
-        """Act on the store's return: an old poll may hang on its cut path."""
+    def _handle_reachable(self) -> None:
+        """Restart the poll, which may hang on the old connection."""
         self.directory.note_return(self._kernel.clock.now())
         self._readers[0].restart()
 
-    def _take_operator(self, rows: Rows, is_whole: bool) -> None:
-        self._note_era(rows.position.era, "op")
-        self._take_rows(rows.rows)
+    def _handle_operator(self, rows: Rows, is_full: bool) -> None:
+        self._record_era(rows.position.era, "op")
+        self._apply_rows(rows.rows)
         if rows.rows:
-            self._note_operator_position(max(row.position for row in rows.rows))
+            self._advance_operator_position(max(row.position for row in rows.rows))
         if rows.is_complete:
             self.freshness.note_read(rows.time.asked_at)
 
-    def _take_rows(self, rows: Iterable[StoredRow]) -> None:
-        """Put the operator's rows in force."""
+    def _apply_rows(self, rows: Iterable[StoredRow]) -> None:
+        """Apply the operator's rows."""
         for row in rows:
             try:
                 row = self._format.conceal(row)
                 configuration = self._format.read_configuration(row)
                 declared = self._format.read_version(row)
             except InvalidConfiguration as error:
-                log.error("A row of the operator is ignored: %s.", error)
+                log.error("Ignored an invalid row of the operator's table: %s.", error)
                 continue
             if self._is_older(row, configuration, declared):
                 self.operator_rows.keep(row)
@@ -318,39 +331,42 @@
         configuration: Configuration | None,
         declared: tuple[Model, int] | None,
     ) -> bool:
-        """Tell whether a row says what was replaced by what is in force."""
-        known = told = 0
+        """Return whether a row is older than what is in force."""
+        known = received = 0
         if configuration is not None and self.configuration is not None:
-            known, told = self.configuration.version, configuration.version
+            known, received = self.configuration.version, configuration.version
         if declared is not None:
-            model, told = declared
+            model, received = declared
             known = self.versions.get(model, 0)
-        if told < known:
-            log.event("row_older", key=row.key, told=told, known=known)
-        return told < known
+        if received < known:
+            log.event("row_older", key=row.key, told=received, known=known)
+        return received < known
 
-    def _note_operator_position(self, position: StorePosition) -> None:
-        """Know the operator's table up to a position, and pass it on."""
+    def _advance_operator_position(self, position: StorePosition) -> None:
+        """Advance the known position of the table, and notify listeners."""
         before = self.operator_position
         if position > before:
             self.operator_position = position
             self.freshness.note_position(position)
-            _tell(self.on_operator, before)
+            _notify(self.on_operator, before)
 
     def _apply(self, configuration: Configuration, position: StorePosition) -> None:
-        """Put a configuration in force; an older one is never put back.
+        """Put a configuration in force unless a newer one already is.
 
-        Behind the store's return a number may be given out again, with another
-        content; the one that was written last holds.
+        After the store was restored from an older copy, a version number may
+        be assigned again with other content; the last one written is used.
         """
         known = self.configuration
         if known == configuration:
-            self._configured_at = max(position, self._configured_at)
+            self._configured_position = max(position, self._configured_position)
             return
-        place = (configuration.version, position)
-        if known is not None and place <= (known.version, self._configured_at):
+        candidate = (configuration.version, position)
+        if known is not None and candidate <= (
+            known.version,
+            self._configured_position,
+        ):
             return
-        self._configured_at = position
+        self._configured_position = position
         self.configuration = configuration
         self.routes = RouteTable(configuration.routes)
         self.keys = None
@@ -363,22 +379,23 @@
             routes=len(configuration.routes),
             organisations=len(configuration.organisations or ()),
         )
-        _tell(self.on_configuration, configuration)
+        _notify(self.on_configuration, configuration)
 
     def _declare(self, model: Model, version: int) -> None:
         if version <= self.versions.get(model, 0):
             return
         self.versions[model] = version
         log.event("version_declared", model=str(model), version=version)
-        _tell(self.on_version, model, version)
+        _notify(self.on_version, model, version)
 
-    def _take_directory(self, rows: Rows, is_whole: bool) -> None:
+    def _handle_directory(self, rows: Rows, is_full: bool) -> None:
         now = self._kernel.clock.now()
         before = self.directory.revision
         found = {}
-        is_settling = is_whole and now < self._settled_at
+        is_settling = is_full and now < self._settled_at
         for row in rows.rows:
-            # In order: one answer may hold an entry's change and its end.
+            # In order: one answer may hold both a change of an entry and its
+            # removal.
             if row.value is None:
                 version = rows.position.version
                 log.event("endpoint_gone", endpoint=row.key, version=version)
@@ -387,21 +404,24 @@
             try:
                 endpoint = self._format.read_endpoint(row)
             except InvalidConfiguration as error:
-                log.error("An entry of the list is ignored: %s.", error)
+                log.error(
+                    "Ignored an invalid entry of the list of endpoints: %s.", error
+                )
                 self.directory.reject_name(row.key)
                 continue
             if is_settling and self.directory.was_dropped(endpoint.id):
-                # The copy's; one that lives writes its entry again.
+                # The entry may stem from the older copy. An endpoint that is
+                # alive writes its entry again.
                 continue
             found[endpoint.id] = endpoint
             self._log_change(endpoint, rows.position)
             self.directory.put(endpoint)
-        if is_whole:
+        if is_full:
             self.directory.replace(found, now)
-        self._tell_directory(before)
+        self._notify_directory(before)
 
     def _log_change(self, entry: Endpoint, position: StorePosition) -> None:
-        """Log an endpoint that is new, or has begun to drain."""
+        """Log an endpoint that is new or has begun to drain."""
         endpoint = self.directory.correct(entry)
         known = self.directory.get(endpoint.id)
         if known is not None and known.is_draining == endpoint.is_draining:
@@ -418,23 +438,24 @@
     def _expire(self) -> None:
         before = self.directory.revision
         self.directory.expire(self._kernel.clock.now())
-        self._tell_directory(before)
+        self._notify_directory(before)
         age = self.measure_operator_age()
         self._measures.set("roadlift_configuration_age_seconds", age)
 
-    def _tell_directory(self, before: int) -> None:
+    def _notify_directory(self, before: int) -> None:
         if self.directory.revision != before:
-            _tell(self.on_directory)
+            _notify(self.on_directory)
 
 
-def _tell(listeners: Iterable[Callable[..., None]], *news: object) -> None:
-    """Tell all listeners, also where one breaks.
+def _notify(listeners: Iterable[Callable[..., None]], *arguments: object) -> None:
+    """Call all listeners, even if one raises.
 
-    Else a row that breaks one is the last that the instance reads, and that an
-    aggregator passes on: no configuration or endpoint is learned of any more.
+    Otherwise a row that makes a listener raise would be the last one that the
+    instance reads, and that an aggregator relays: later configurations and
+    endpoints would never become known.
     """
     for listener in list(listeners):
         try:
-            listener(*news)
+            listener(*arguments)
         except Exception as error:
-            log.error("What was read broke a listener: %r.", error)
+            log.error("A listener raised an exception on an update: %r.", error)
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -1,7 +1,7 @@
-"""Keep what this process knows of the engines and of their owners.
+"""Store what this process knows of the engines and of their owners.
 
-The owners of zones tell it, an aggregator passes it on. Whoever listens here
-hears of each change once, whichever way it came.
+The owners of zones send this state, directly or through an aggregator.
+Listeners are notified once of each change, whichever way it arrived.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,31 +19,33 @@
 from roadlift.serving.newslog import Change
 from roadlift.serving.residency import Residency
 
-TICK = 0.1  # Seconds between looks for owners that fell silent.
-# Seconds of silence behind which an owner is not asked: its sign comes each
-# 0.25 s, and one that is lost on a link comes 0.2 to 0.6 s later. What an
-# aggregator passes on is older by its own period.
+TICK = 0.1  # Seconds between checks for unresponsive owners.
+# Seconds of inactivity after which an owner is sent no requests. Its liveness
+# signal is sent every 0.25 s; if one is lost on a link, the next one arrives
+# 0.2 to 0.6 s later. A signal that an aggregator relays is older by the
+# aggregator's interval.
 OWNER_LIMIT = 0.9
-# Seconds within which an owner is followed by another, or is back behind a
-# restart of all: calls wait so long for one, and are refused behind that.
+# Seconds within which an owner is replaced by another, or is back after all
+# instances restarted. Calls wait for an owner for that time, and are refused
+# afterwards.
 OWNER_RETURN = 1.2
 
 
 class _Owner(NamedTuple):
-    """The last sign of an owner, and when it and its list were new."""
+    """The last liveness signal of an owner, and its and its list's times."""
 
-    sign: OwnerSign
-    heard_at: float
+    liveness: OwnerSign
+    received_at: float
     list_at: float
 
 
 @parts.register("knowledge")
 class Knowledge:
-    """The adapters at engines, their loads, and the signs of owners.
+    """The adapters at engines, the engines' loads, and the owners' liveness.
 
-    ``on_held`` is called with an adapter and an engine that has it now,
-    ``on_changes`` with what changed at engines, ``on_loads`` when loads did,
-    and ``on_denial`` with what an owner will not load.
+    ``on_held`` is called with an adapter and an engine that now holds it,
+    ``on_changes`` with the changes at engines, ``on_loads`` when loads have
+    changed, and ``on_denial`` with a load that an owner denied.
     """
 
     name = "knowledge"
@@ -68,30 +70,30 @@
         self._follower.on_directory.append(self._forget_gone)
         self._follower.is_reader = lambda: bool(self._leases.list_held())
         transport = kernel.get(Transport)
-        transport.subscribe((Loaded,), self._take_loaded)
-        transport.subscribe((Denial,), self._take_denial)
+        transport.subscribe((Loaded,), self._handle_loaded)
+        transport.subscribe((Denial,), self._handle_denial)
 
     def start(self) -> None:
-        """Begin to look for owners that fell silent."""
+        """Start checking for unresponsive owners."""
         self._started_at = self._kernel.clock.now()
-        self._timer = self._kernel.loop.call_every(TICK, self._pass_over_silent)
+        self._timer = self._kernel.loop.call_every(TICK, self._ignore_unresponsive)
 
     def close(self) -> None:
-        """Look no more."""
+        """Stop checking for unresponsive owners."""
         self._timer.close()
 
-    # What engines hold.
+    # The adapters that engines hold.
 
     def put(self, endpoint: str, model: Model, version: int) -> None:
-        """Learn that an engine holds an adapter."""
+        """Record that an engine holds an adapter."""
         self.take_changes([Change(endpoint, *model, version)])
 
     def drop(self, endpoint: str, model: Model) -> None:
-        """Learn that an engine does not hold an adapter."""
+        """Record that an engine does not hold an adapter."""
         self.take_changes([Change(endpoint, *model, -1)])
 
     def take_listing(self, engines: Iterable[list]) -> None:
-        """Learn of all that engines hold; see Listing."""
+        """Replace the adapters that engines hold; see ``Listing``."""
         for endpoint, adapters in engines:
             held = {Model(base, name): version for base, name, version in adapters}
             known = self.residency.list_held(endpoint)
@@ -103,25 +105,25 @@
             ]
             self.take_changes([*gone, *there])
 
-    def _take_loaded(self, sender: str, loaded: Loaded) -> None:
+    def _handle_loaded(self, sender: str, loaded: Loaded) -> None:
         model = Model(loaded.base, loaded.adapter)
         self.put(loaded.endpoint, model, loaded.version)
 
-    def _take_denial(self, sender: str, denial: Denial) -> None:
+    def _handle_denial(self, sender: str, denial: Denial) -> None:
         for listener in self.on_denial:
             listener(denial)
 
     def take_changes(self, changes: list[Change]) -> None:
-        """Learn of changes, in order."""
-        held = [self._take_change(change) for change in changes]
+        """Apply changes in order."""
+        held = [self._apply_change(change) for change in changes]
         for listener in self.on_changes:
             listener(changes)
         for change in filter(None, held):
             for listener in self.on_held:
                 listener(Model(change.base, change.adapter), change.endpoint)
 
-    def _take_change(self, change: Change) -> Change | None:
-        """Take a change; return it if the engine holds the adapter by it."""
+    def _apply_change(self, change: Change) -> Change | None:
+        """Apply a change; return it if the engine now holds the adapter."""
         model = Model(change.base, change.adapter)
         if not change.base:
             self.residency.replace(change.endpoint, {})
@@ -133,7 +135,7 @@
         return None
 
     def list_engines(self) -> list:
-        """Return all that engines hold, as a Listing has it."""
+        """Return the adapters that engines hold, as in ``Listing``."""
         return [
             [
                 name,
@@ -145,85 +147,99 @@
             for name in self.residency.list_endpoints()
         ]
 
-    # How loaded they are.
+    # The loads of engines.
 
     def take_loads(self, loads: Iterable[list]) -> None:
-        """Learn how loaded engines are; see EngineLoads."""
+        """Apply the reported loads of engines; see ``EngineLoads``."""
         for endpoint, *fields in loads:
             known = self._follower.directory.get(endpoint)
             if known is None:
                 continue
             load = read_fields(EngineLoad, fields)
-            own = self.health.count_running(endpoint)
+            local = self.health.count_running(endpoint)
             self._loads[endpoint] = load
-            self.workload.note_told(endpoint, known.zone, load, own)
+            self.workload.note_told(endpoint, known.zone, load, local)
         for listener in self.on_loads:
             listener()
 
     def list_loads(self) -> dict[str, EngineLoad]:
-        """Return the loads of engines as they were told last."""
+        """Return the last reported load of each engine."""
         return self._loads
 
     # The owners.
 
-    def note_sign(self, sign: OwnerSign) -> None:
-        """Learn of a sign of an owner, unless a later one is known."""
+    def note_sign(self, liveness: OwnerSign) -> None:
+        """Record an owner's liveness signal, unless a later one is known."""
         now = self._kernel.clock.now()
-        owner = _Owner(sign, now - sign.age, now - sign.age - sign.list_age)
-        known = self._owners.get(sign.zone)
-        if known is not None and owner.heard_at <= known.heard_at:
+        owner = _Owner(
+            liveness, now - liveness.age, now - liveness.age - liveness.list_age
+        )
+        known = self._owners.get(liveness.zone)
+        if known is not None and owner.received_at <= known.received_at:
             return
-        self._owners[sign.zone] = owner
-        self._leases.note_owner(sign.zone, sign.address, sign.fence)
-        if now - owner.heard_at < OWNER_LIMIT or not sign.is_ready:
-            self._leases.note_sign(sign.zone, sign.is_ready)
+        self._owners[liveness.zone] = owner
+        self._leases.note_owner(liveness.zone, liveness.address, liveness.fence)
+        if now - owner.received_at < OWNER_LIMIT or not liveness.is_ready:
+            self._leases.note_sign(liveness.zone, liveness.is_ready)
 
     def list_signs(self) -> list[OwnerSign]:
-        """Return the last sign of each owner, with its present age."""
+        """Return each owner's last liveness signal, with its current age."""
         now = self._kernel.clock.now()
         return [
-            owner.sign._replace(
-                age=round(now - owner.heard_at, 3),
-                list_age=round(owner.heard_at - owner.list_at, 3),
+            owner.liveness._replace(
+                age=round(now - owner.received_at, 3),
+                list_age=round(owner.received_at - owner.list_at, 3),
             )
             for owner in self._owners.values()
         ]
 
     def measure_silence(self, zone: str) -> float:
-        """Return the seconds since a zone's owner gave its last sign."""
+        """Return the seconds since a zone's owner was last seen alive."""
         owner = self._owners.get(zone)
-        return self._kernel.clock.now() - owner.heard_at if owner else float("inf")
+        return self._kernel.clock.now() - owner.received_at if owner else float("inf")
 
     def has_owner(self, zone: str) -> bool:
-        """Tell whether a zone has an owner that may give orders."""
+        """Return whether a zone has a live owner that may give orders."""
         owner = self._owners.get(zone)
-        is_ready = owner is not None and owner.sign.is_ready
+        is_ready = owner is not None and owner.liveness.is_ready
         return is_ready and self.measure_silence(zone) < OWNER_LIMIT
 
     def is_owner_due(self) -> bool:
-        """Tell whether there was an owner a moment ago, or none yet."""
-        heard = [one.heard_at for one in self._owners.values() if one.sign.is_ready]
-        last = max(heard, default=self._started_at)
+        """Return whether an owner is expected to appear shortly.
+
+        That is so if one was active recently, or if this process has just
+        started.
+        """
+        received = [
+            owner.received_at
+            for owner in self._owners.values()
+            if owner.liveness.is_ready
+        ]
+        last = max(received, default=self._started_at)
         return self._kernel.clock.now() - last < OWNER_RETURN
 
-    def note_instances(self, teller: str, count: int) -> None:
-        """Learn how many instances an owner or an aggregator knows of."""
-        self._instances[teller] = count
+    def note_instances(self, reporter: str, count: int) -> None:
+        """Record how many instances an owner or an aggregator knows of."""
+        self._instances[reporter] = count
 
     def count_instances(self) -> int:
-        """Return how many instances there are, as far as is known."""
+        """Return the number of known instances."""
         return max(self._instances.values(), default=1)
 
-    def _pass_over_silent(self) -> None:
-        """Use no load that was told of the engines of a silent owner."""
-        silent = [
+    def _ignore_unresponsive(self) -> None:
+        """Ignore the reported loads of the engines of unresponsive owners."""
+        unresponsive = [
             zone for zone in self._owners if self.measure_silence(zone) > OWNER_LIMIT
         ]
-        self.workload.pass_over(silent)
+        self.workload.pass_over(unresponsive)
 
     def _forget_gone(self) -> None:
         known = {endpoint.id for endpoint in self._follower.directory.list_all()}
-        gone = [one for one in self.residency.list_endpoints() if one not in known]
+        gone = [
+            endpoint
+            for endpoint in self.residency.list_endpoints()
+            if endpoint not in known
+        ]
         self.residency.forget(gone)
         self.workload.forget(known)
         self.health.forget(known)
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -11,47 +11,50 @@
 from roadlift.serving.interfaces import Rows
 from roadlift.serving.position import NOWHERE, StorePosition
 
-REST_LOOK = 0.2  # Seconds between looks whether an instance has to read again.
-RETRY_PAUSE = 0.2  # Seconds behind a read that failed.
+# Seconds between checks whether a paused reader has to read again.
+REST_LOOK = 0.2
+RETRY_PAUSE = 0.2  # Seconds between a failed read and the next one.
 
 log = PartLog("follower")
 
 
 class TableReader:
-    """Reads one table whole, then its changes, for as long as it is open.
+    """Reads a full table, then its changes, until it is closed.
 
-    ``period`` is in seconds: 0 polls again at once, waiting at the store for
-    what ``measure_wait`` returns; ``retry_pause`` is behind a read that
-    failed, likewise.
+    ``interval`` is the time between reads in seconds. With 0, the reader polls
+    again immediately, and the store holds the poll for the time that
+    ``compute_wait`` returns. ``retry_delay`` is the time in seconds between a
+    failed read and the next one. While ``may_pause`` returns True, nothing is
+    read once the full table is known.
     """
 
     def __init__(
         self,
         kernel: Kernel,
         table: str,
-        measure_wait: Callable[[], float],
-        period: float,
+        compute_wait: Callable[[], float],
+        interval: float,
         on_rows: Callable[[Rows, bool], None],
         on_return: Callable[[], None],
-        may_rest: Callable[[], bool],
-        retry_pause: float = RETRY_PAUSE,
+        may_pause: Callable[[], bool],
+        retry_delay: float = RETRY_PAUSE,
     ) -> None:
         self._loop = kernel.loop
         self._clock = kernel.clock
         self._store = kernel.get(Platform).store
         self._measures = kernel.get(Measures)
         self._table = table
-        self._measure_wait = measure_wait
-        self._period = period
+        self._compute_wait = compute_wait
+        self._interval = interval
         self._on_rows = on_rows
         self._on_return = on_return
-        self._may_rest = may_rest
-        self._retry_pause = retry_pause
+        self._may_pause = may_pause
+        self._retry_delay = retry_delay
         self._position: StorePosition | None = None
         # Whether the last read was answered. A read that waits on a dead
-        # connection is noticed late, so the first one behind a failure or an
-        # outage does not wait.
-        self._is_sound = True
+        # connection is detected late, so the first one after a failure or an
+        # outage does not wait at the store.
+        self._was_answered = True
         self.is_resting = False
         self.asked_at = float("-inf")
         self._is_open = True
@@ -59,62 +62,64 @@
         self._round = 0
         self.answered_at = kernel.clock.now()
         self.is_reachable = True
-        self._store.eras.on_return.append(self._note_return)
+        self._store.eras.on_return.append(self._handle_store_return)
 
     def start(self) -> None:
-        """Read the table."""
+        """Start reading the table."""
         self._is_started = True
         self._read(self._round)
 
     def close(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._is_open = False
-        self._store.eras.on_return.remove(self._note_return)
+        self._store.eras.on_return.remove(self._handle_store_return)
 
     def restart(self) -> None:
-        """Send the read under way anew, and ignore its answer."""
-        self._is_sound = False
+        """Read again, and ignore the answer to the read in progress."""
+        self._was_answered = False
         self._round += 1
         self._read(self._round)
 
     @property
     def position(self) -> StorePosition:
-        """Return the store's position as of which the table is known."""
+        """Return the store's position up to which the table is known."""
         return self._position or NOWHERE
 
     def skip_to(self, position: StorePosition) -> None:
-        """Learn from another instance that nothing is new up to a position."""
+        """Advance to a position up to which another instance saw no change."""
         if self._position is not None:
             self._position = max(self._position, position)
 
-    def _note_return(self, told: StoreReturn) -> None:
-        """Read anew: what is under way is of an era that is over."""
+    def _handle_store_return(self, store_return: StoreReturn) -> None:
+        """Read again: the read in progress belongs to an earlier era."""
         if self._is_started:
             self.restart()
 
     def _read(self, number: int) -> None:
-        """Read; ``number`` is the round, of which only the newest counts."""
+        """Read, unless ``number`` is no longer the current round."""
         if not self._is_open or number != self._round:
             return
-        self.is_resting = self._position is not None and self._may_rest()
+        self.is_resting = self._position is not None and self._may_pause()
         if self.is_resting:
             self._loop.call_later(REST_LOOK, lambda: self._read(number))
             return
         self.asked_at = self._clock.now()
-        # Versions of an era that is over say nothing of this one's changes.
-        is_whole = self._position is None or not self._is_current()
-        take = lambda rows: self._take(number, rows, is_whole)
-        fail = lambda error: self._fail(number, error)
-        if is_whole:
-            self._store.read(self._table, take, fail)
+        # Versions of an earlier era cannot select the changes of this one.
+        is_full = self._position is None or not self._is_current()
+        handle_rows = lambda rows: self._handle_rows(number, rows, is_full)
+        handle_error = lambda error: self._handle_error(number, error)
+        if is_full:
+            self._store.read(self._table, handle_rows, handle_error)
         else:
-            wait = self._measure_wait() if self._is_sound else 0.0
-            self._store.follow(self._table, self._position, wait, take, fail)
+            wait = self._compute_wait() if self._was_answered else 0.0
+            self._store.follow(
+                self._table, self._position, wait, handle_rows, handle_error
+            )
 
     def _is_current(self) -> bool:
         return self._store.eras.is_current(self._position)
 
-    def _take(self, number: int, rows: Rows, is_whole: bool) -> None:
+    def _handle_rows(self, number: int, rows: Rows, is_full: bool) -> None:
         if not self._is_open or number != self._round:
             return
         if not self.is_reachable:
@@ -122,13 +127,13 @@
             era, version = rows.position
             log.event("store_regained", table=self._table, era=era, version=version)
             self._on_return()
-        self._is_sound = True
+        self._was_answered = True
         self._position = rows.position
         self.answered_at = self._clock.now()
-        self._on_rows(rows, is_whole)
-        self._loop.call_later(self._period, lambda: self._read(number))
+        self._on_rows(rows, is_full)
+        self._loop.call_later(self._interval, lambda: self._read(number))
 
-    def _fail(self, number: int, error: RoadliftError) -> None:
+    def _handle_error(self, number: int, error: RoadliftError) -> None:
         if not self._is_open or number != self._round:
             return
         if isinstance(error, HistoryGone):
@@ -136,9 +141,9 @@
             log.event("history_gone", table=self._table, era=era, version=version)
             self._position = None
         else:
-            self._is_sound = False
+            self._was_answered = False
             self._measures.count("roadlift_store_failures", self._table)
         if self.is_reachable and not isinstance(error, HistoryGone):
             self.is_reachable = False
             log.event("store_lost", table=self._table, error=str(error))
-        self._loop.call_later(self._retry_pause, lambda: self._read(number))
+        self._loop.call_later(self._retry_delay, lambda: self._read(number))
