--- a/tests/instance/aggregator.feature
+++ b/tests/instance/aggregator.feature
@@ -1,28 +1,28 @@
-Feature: Instances hear one aggregator, and the store hears few of them
+Feature: Instances subscribe to one aggregator, and few of them call the store
 
   Background:
     Given an installation with instances a and b in zone z1 and c in zone z2
     And engines e1 and e2 in z1 and e3 in z2, and plain endpoints p1 in z1 and p2 in z2
 
-  Scenario Outline: What an instance says and hears does not grow with the fleet
-    Each instance subscribed to the owner of every zone and was told everything by
-    each: at 195 instances of five zones some 17,500 messages a second by arithmetic,
-    most of them between zones.
+  Scenario Outline: The message rate of an instance does not grow with the fleet
+    Each instance subscribed to the owner of every zone, and each owner sent it all
+    updates: for 195 instances in five zones, some 17,500 messages a second by
+    calculation, most of them between zones.
 
     Given <more> more instances in z1, and 9 more engines, with 9 slots
     And 300 adapters that are called in turn, all the time
     When nothing happens
     And 5 seconds pass
-    Then an instance that owns nothing hears at most <heard> messages a second and sends <sent>
+    Then an instance that owns nothing receives at most <received> messages a second and sends <sent>
     And the owner of z2 sends at most 120 messages a second
 
     Examples:
-      | more | heard | sent |
-      | 4    | 70    | 40   |
-      | 24   | 40    | 25   |
-      | 60   | 25    | 15   |
+      | more | received | sent |
+      | 4    | 70       | 40   |
+      | 24   | 40       | 25   |
+      | 60   | 25       | 15   |
 
-  Scenario Outline: Adapters that are loaded are found, whoever is heard
+  Scenario Outline: Adapters that are loaded are found, whoever sends the updates
     When a stream of an adapter is sent to a
     And 1 second passes
     And nothing happens
@@ -41,9 +41,10 @@
       | the instance of z1 that owns nothing restarts | 1.5     |
       | messages between instances are lost for 2 seconds | 1   |
 
-  Scenario: A new instance knows all soon, though first messages open the ways
-    The first message on each way is dropped, and what an aggregator sent behind a
-    dropped reply was taken for sent: it came 0.6 seconds later again.
+  Scenario: A new instance soon has the full state, though first messages are dropped
+    The first message to an address opens the connection and is dropped. What an
+    aggregator sent after a dropped reply counted as sent, and was only sent again
+    0.6 seconds later.
 
     When a stream of an adapter is sent to a
     And 5 seconds pass
@@ -51,22 +52,22 @@
     And 0.5 seconds pass
     Then d knows the engine that holds the adapter
 
-  Scenario Outline: Another aggregator is heard while the own one is away
+  Scenario Outline: Another aggregator is used while the local one is unavailable
     When nothing happens
     And <trouble>
     And <seconds> seconds pass
-    Then the instance of z1 that owns nothing hears <heard>
+    Then the instance of z1 that owns nothing subscribes to the owner of <zone>
 
     Examples:
-      | trouble                               | seconds | heard |
-      | nothing happens                       | 1       | z1    |
-      | the owner of z1 dies                  | 1       | z2    |
-      | the owner of z1 is cut from the store | 3       | z2    |
-      | the owner of z1 restarts              | 4       | z1    |
+      | trouble                               | seconds | zone |
+      | nothing happens                       | 1       | z1   |
+      | the owner of z1 dies                  | 1       | z2   |
+      | the owner of z1 is cut from the store | 3       | z2   |
+      | the owner of z1 restarts              | 4       | z1   |
 
-  Scenario: A configuration reaches those that read nothing by their aggregator
-    Each instance read the operator's table when it changed: at 195 instances 195
-    calls for each version that was named.
+  Scenario: An aggregator relays configurations to instances that read nothing
+    Each instance read the operator's table when it changed: with 195 instances, 195
+    calls for each version that was declared.
 
     When 5 seconds pass
     And nothing happens
@@ -75,33 +76,33 @@
     Then it gets 200 within 0.1 seconds
     And the instance of z1 that owns nothing has not read the operator's table since
 
-  Scenario: A store that turns the owners away still tells the others
+  Scenario: Instances read a store that only the owners cannot reach
     When 5 seconds pass
     And the owners are cut from the store
     And a route is added and 2.8 seconds pass
     And a call of the added route is sent to the instance of z1 that owns nothing
     Then it gets 200 within 0.1 seconds
 
-  Scenario Outline: While the store is away few instances of a zone ask for it
+  Scenario Outline: While the store is unavailable few instances of a zone call it
     Given <more> more instances in z1, and 9 more engines, with 9 slots
     When 3 seconds pass
-    And the store is away for 10 seconds
-    Then those that own nothing have called it at most <calls> times
+    And the store is unavailable for 10 seconds
+    Then instances that own nothing have called it at most <calls> times
 
     Examples:
       | more | calls |
       | 6    | 200   |
       | 38   | 400   |
 
-  Scenario: Rows that can't be read change nothing
+  Scenario: Malformed rows change nothing
     When 3 seconds pass
-    And an aggregator passes on a row that can't be read
+    And an aggregator relays a malformed row
     And an idempotent call is sent to the instance of z1 that owns nothing
     Then it gets 200 within 0.1 seconds
 
-  Scenario: An instance that is offered a lease which is not free reads it a few times
-    It read the row at each answer: 148 calls to the store in a second.
+  Scenario: An instance that is offered a lease that is not free reads it a few times
+    It read the row again after each answer: 148 calls to the store in a second.
 
     When nothing happens
-    And the lease of z1 is offered to the one that owns nothing, who hears no owner
-    Then it has called the store 14 times at most in the second behind it
+    And the lease of z1 is offered to the instance that owns nothing, cut from the owners
+    Then it has called the store at most 14 times in the second after the offer
--- a/tests/steps/aggregator_steps.py
+++ b/tests/steps/aggregator_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what instances hear of an aggregator, and ask of the store."""
+"""Steps on messages from aggregators, and on calls to the store."""
 
 from behave import then, when
 
@@ -13,7 +13,7 @@
 from roadlift.serving.messages import HandOver, OperatorNews
 from tests.support.configuration import BASE
 
-_SPAN = 5.0  # Seconds over which messages are counted.
+_COUNT_WINDOW = 5.0  # Seconds over which messages are counted.
 
 
 def _list_plain(context):
@@ -42,36 +42,38 @@
 
 
 @then(
-    "an instance that owns nothing hears at most {heard:d} messages a second"
+    "an instance that owns nothing receives at most {received:d} messages a second"
     " and sends {sent:d}"
 )
-def step_messages(context, heard, sent):
-    """Count over some further seconds."""
+def step_messages(context, received, sent):
+    """Count messages over the following seconds."""
     entry = _list_plain(context)[0]
     context.counted_owner = _find_owner(context, "z2")
     owner_before = _count(context.counted_owner, SENT)
     before = _count(entry, RECEIVED), _count(entry, SENT)
-    context.entries.advance(_SPAN)
-    context.owner_rate = (_count(context.counted_owner, SENT) - owner_before) / _SPAN
+    context.entries.advance(_COUNT_WINDOW)
+    context.owner_rate = (
+        _count(context.counted_owner, SENT) - owner_before
+    ) / _COUNT_WINDOW
     found = (
-        (_count(entry, RECEIVED) - before[0]) / _SPAN,
-        (_count(entry, SENT) - before[1]) / _SPAN,
+        (_count(entry, RECEIVED) - before[0]) / _COUNT_WINDOW,
+        (_count(entry, SENT) - before[1]) / _COUNT_WINDOW,
     )
-    assert found[0] <= heard and found[1] <= sent, found
+    assert found[0] <= received and found[1] <= sent, found
 
 
 @then("the owner of z2 sends at most {most:d} messages a second")
 def step_owner_messages(context, most):
-    """Check what was counted in the same seconds."""
+    """Check the count over the same seconds."""
     assert context.owner_rate <= most, context.owner_rate
 
 
-@then("the instance of z1 that owns nothing hears {zone}")
-def step_hears(context, zone):
-    """Check whose address it sends its heartbeats to."""
+@then("the instance of z1 that owns nothing subscribes to the owner of {zone}")
+def step_subscribes(context, zone):
+    """Check the address that it sends its heartbeats to."""
     entry = context.entries.entries[context.other]
-    heard = entry.kernel.get(Subscription).source
-    assert heard == _find_owner(context, zone).address, heard
+    source = entry.kernel.get(Subscription).source
+    assert source == _find_owner(context, zone).address, source
 
 
 def _count_operator_calls(context):
@@ -82,14 +84,14 @@
 
 @then("the instance of z1 that owns nothing has not read the operator's table since")
 def step_not_read(context):
-    """Compare with the calls before."""
+    """Compare with the earlier number of calls."""
     found = _count_operator_calls(context) - context.operator_calls
     assert found == 0, found
 
 
 @when("the owners are cut from the store")
 def step_cut_owners(context):
-    """Cut every instance that has a lease from the store alone."""
+    """Cut every instance that holds a lease from the store only."""
     (plain,) = _list_plain(context)
     context.other = plain.name
     for entry in context.entries.entries.values():
@@ -97,56 +99,58 @@
             context.entries.installation.cut_from_store.add(entry.dialer)
 
 
-@when("the store is away for {seconds:d} seconds")
-def step_away(context, seconds):
-    """Let the store answer nothing, and count who asks."""
+@when("the store is unavailable for {seconds:d} seconds")
+def step_outage(context, seconds):
+    """Stop the store's answers, and count the calls of instances."""
     calls = context.entries.installation.store_calls
     plain = _list_plain(context)
     before = {entry.name: calls[entry.dialer] for entry in plain}
     context.entries.installation.store.is_down = True
     context.entries.advance(seconds)
     context.entries.installation.store.is_down = False
-    context.calls_away = sum(
+    context.outage_calls = sum(
         calls[entry.dialer] - before[entry.name] for entry in plain
     )
 
 
-@then("those that own nothing have called it at most {most:d} times")
-def step_called_away(context, most):
-    """Check what was counted."""
-    assert context.calls_away <= most, context.calls_away
+@then("instances that own nothing have called it at most {most:d} times")
+def step_outage_calls(context, most):
+    """Check the count."""
+    assert context.outage_calls <= most, context.outage_calls
 
 
-@when("an aggregator passes on a row that can't be read")
-def step_bad_row(context):
-    """Hand rows of which one is not packed to an instance."""
+@when("an aggregator relays a malformed row")
+def step_malformed_row(context):
+    """Give an instance an update with a row that is not packed."""
     (plain,) = _list_plain(context)
     context.other = plain.name
-    news = OperatorNews(1, 0, [["config", 10**9, b"no packed value"]])
-    plain.kernel.get(Follower).relay_operator(news)
+    update = OperatorNews(1, 0, [["config", 10**9, b"no packed value"]])
+    plain.kernel.get(Follower).relay_operator(update)
 
 
-@when("the lease of z1 is offered to the one that owns nothing, who hears no owner")
+@when(
+    "the lease of z1 is offered to the instance that owns nothing, cut from the owners"
+)
 def step_offer(context):
-    """Offer it while its owner renews it, and cannot be heard."""
+    """Offer it while its owner renews it, and no messages arrive."""
     (plain,) = _list_plain(context)
     calls = context.entries.installation.store_calls
     context.entries.is_cut = True
     before = calls[plain.dialer]
     plain.transport.receive(encode(Envelope("x", HandOver("z1"))))
     context.entries.advance(1.0)
-    context.calls_offered = calls[plain.dialer] - before
+    context.offer_calls = calls[plain.dialer] - before
 
 
-@then("it has called the store {most:d} times at most in the second behind it")
-def step_called_offered(context, most):
-    """Check what was counted."""
-    assert 5 <= context.calls_offered <= most, context.calls_offered
+@then("it has called the store at most {most:d} times in the second after the offer")
+def step_offer_calls(context, most):
+    """Check the count."""
+    assert 5 <= context.offer_calls <= most, context.offer_calls
 
 
 @when("an instance d starts in z1, and each first message is dropped")
 def step_start_cold(context):
-    """Start an instance; no way between it and others is open."""
+    """Start an instance that has no open connection to others."""
     entry = context.entries.start("d", "z1")
     for known in context.entries.entries.values():
         known.transport.opens_ways = True
@@ -155,6 +159,6 @@
 
 @then("d knows the engine that holds the adapter")
 def step_knows(context):
-    """Check what it has heard of."""
+    """Check the adapters at engines that it knows."""
     knowledge = context.entries.entries["d"].kernel.get(Knowledge)
     assert knowledge.residency.find(Model(BASE, "x"))
--- a/tests/steps/link_steps.py
+++ b/tests/steps/link_steps.py
@@ -5,15 +5,15 @@
 from roadlift.instance.leases import Leases
 from tests.support.configuration import BASE, ROUTES, SERVICES
 
-_CALL_PERIOD = 0.02  # Seconds between two calls.
-# By how many the adapter of a call is further than that of the call before, so
-# that neighbours are not called at the same engines one behind the other.
+_CALL_INTERVAL = 0.02  # Seconds between two calls.
+# Distance between the adapters of two successive calls, so that adjacent
+# adapters are not called at the same engines one after the other.
 _STRIDE = 7
 
 
 @given("{instances:d} more instances in z1, and {engines:d} more engines, with 9 slots")
 def step_more(context, instances, engines):
-    """Start them, and let everything settle."""
+    """Start them, and wait until they have settled."""
     entries = context.entries
     entries.configure(ROUTES, SERVICES, 9)
     for index in range(engines):
@@ -25,10 +25,10 @@
     entries.advance(3.0)
 
 
-@when("callers stay for {seconds:d} second")
-def step_stay(context, seconds):
-    """Limit the time of the calls that are sent from now on."""
-    context.stay = seconds
+@when("callers wait for {seconds:d} second")
+def step_call_timeout(context, seconds):
+    """Set the deadline of the calls that are sent from now on."""
+    context.call_timeout = seconds
 
 
 @given("{count:d} adapters that are called in turn, {rate:d} calls a second")
@@ -46,35 +46,36 @@
 @given("{count:d} adapters that are called in turn, all the time")
 def step_called(context, count):
     """Call the adapters at the instances in turn."""
-    _call_in_turn(context, count, _CALL_PERIOD)
+    _call_in_turn(context, count, _CALL_INTERVAL)
 
 
-def _call_in_turn(context, count, period, names=None):
+def _call_in_turn(context, count, interval, names=None):
     entries = context.entries
     names = names or list(entries.entries)
-    context.stay = 20
+    context.call_timeout = 20
     context.called = []
 
     def call(number):
-        """Send a call, and plan the next."""
+        """Send a call, and schedule the next."""
         headers = {
             "model": f"{BASE}/x{number * _STRIDE % count}",
             "token-count": "10,20",
             "prompt-prefix": "ab:10",
-            "deadline-ms": str(1000 * context.stay),
+            "deadline-ms": str(1000 * context.call_timeout),
         }
         now = entries.installation.clock.now()
-        # One further each round, so that no adapter keeps to one instance.
-        place = number + number // count
+        # One further in each round, so that no adapter always goes to the same
+        # instance.
+        turn = number + number // count
         name = next(
-            names[(place + step) % len(names)]
+            names[(turn + step) % len(names)]
             for step in range(len(names))
-            if names[(place + step) % len(names)] in entries.entries
+            if names[(turn + step) % len(names)] in entries.entries
         )
         caller = entries.call(name, "/long/1", headers)
         context.called.append((now, headers["model"], caller))
-        plan = lambda: call(number + 1)
-        entries.installation.timeline.call_later(period, plan)
+        call_next = lambda: call(number + 1)
+        entries.installation.timeline.call_later(interval, call_next)
 
     call(0)
     entries.advance(2.0)
@@ -95,7 +96,7 @@
 
 @when("the reports of half of the engines fail")
 def step_reports(context):
-    """Let every second engine answer no question for a report."""
+    """Let every second engine answer no request for a report."""
     runners = list(context.entries.installation.runners.values())
     for runner in runners[::2]:
         runner.is_mute = True
@@ -106,7 +107,7 @@
     "which was busy for {seconds:d} second"
 )
 def step_link(context, rate, seconds):
-    """Give the owner a link with a backlog."""
+    """Give the owner a slow link with a backlog."""
     entries = context.entries
     context.owner = _find_owner(entries)
     entries.link_rates[context.owner] = rate
@@ -133,43 +134,45 @@
 
 @then("z1 has another owner")
 def step_other_owner(context):
-    """Check that the lease was given back and taken."""
+    """Check that the lease was released and acquired by another."""
     owner = _find_owner(context.entries)
     assert owner != context.owner, owner
 
 
 @then("what the owner sends leaves it within {seconds:g} seconds")
 def step_backlog(context, seconds):
-    """Check that the link's backlog is short."""
+    """Check the link's backlog."""
     found = context.entries.measure_backlog(context.owner)
     assert found <= seconds, found
 
 
 @then("each adapter called {least:d} times over {span:d} seconds since was served")
 def step_all_served(context, least, span):
-    """Look at the calls since the trouble began."""
+    """Check the calls since the trouble began."""
     calls = {}
     for at, model, caller in context.called[context.called_before :]:
         calls.setdefault(model, []).append((at, caller.status))
-    often = [
+    frequent = [
         found
         for found in calls.values()
         if len(found) >= least and found[-1][0] - found[0][0] >= span
     ]
-    assert len(often) > 100, len(often)
-    unserved = [found for found in often if all(status != 200 for _, status in found)]
-    assert not unserved, (len(unserved), len(often), unserved[0])
+    assert len(frequent) > 100, len(frequent)
+    unserved = [
+        found for found in frequent if all(status != 200 for _, status in found)
+    ]
+    assert not unserved, (len(unserved), len(frequent), unserved[0])
 
 
 @then("{least:d} in 100 calls of {seconds:g} seconds are served")
 def step_served(context, least, seconds):
-    """Look at the calls that begin from now on."""
+    """Check the calls that begin from now on."""
     entries = context.entries
     first = len(entries.callers)
     entries.advance(seconds)
     calls = entries.callers[first:]
     entries.advance(2.0)
-    served = sum(one.status == 200 for one in calls)
+    served = sum(caller.status == 200 for caller in calls)
     assert served >= least / 100 * len(calls), (served, len(calls))
 
 
@@ -181,5 +184,5 @@
     entries.advance(seconds)
     calls = entries.callers[first:]
     entries.advance(2.5)
-    served = sum(one.status == 200 for one in calls)
+    served = sum(caller.status == 200 for caller in calls)
     assert served >= least * seconds, (served / seconds, len(calls) / seconds)
--- a/tests/steps/restart_steps.py
+++ b/tests/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps on engines that start again under the same name."""
+"""Steps on engines that restart under the same name."""
 
 from behave import given, then, when
 
@@ -7,7 +7,7 @@
 from roadlift.serving.copies import CopyState
 
 
-def _engines(context, names="all engines"):
+def _list_engines(context, names="all engines"):
     runners = context.entries.installation.runners
     return [
         runner
@@ -20,47 +20,49 @@
     context.entries.installation.store.put("servers", runner.id, runner.describe())
 
 
-@given("all engines tell when they were started")
-def step_born(context):
-    """Let each engine begin its first run that is told of."""
-    for runner in _engines(context):
+@given("all engines report their start times")
+def step_start_times(context):
+    """Restart each engine, so that its entry has a start time."""
+    for runner in _list_engines(context):
         runner.restart()
         _write(context, runner)
     context.entries.advance(2.0)
 
 
-@when("{names} start again, and tell so after {late:g} seconds")
-def step_restart(context, names, late):
-    """Restart engines; the list learns of it later."""
-    context.earlier = {one.id: one.describe() for one in _engines(context)}
-    for runner in _engines(context, names):
+@when("{names} restart, and their entries change after {delay:g} seconds")
+def step_restart(context, names, delay):
+    """Restart engines; write their entries after a delay."""
+    context.earlier = {
+        runner.id: runner.describe() for runner in _list_engines(context)
+    }
+    for runner in _list_engines(context, names):
         runner.restart()
-        if late:
-            plan = lambda one=runner: _write(context, one)
-            context.entries.installation.timeline.call_later(late, plan)
+        if delay:
+            write = lambda engine=runner: _write(context, engine)
+            context.entries.installation.timeline.call_later(delay, write)
         else:
             _write(context, runner)
 
 
 @when("an entry of the earlier run of {name:w} is written again")
-def step_late(context, name):
-    """Write what the runner told of itself before."""
+def step_earlier_entry(context, name):
+    """Write the entry that the engine had before its restart."""
     context.entries.installation.store.put("servers", name, context.earlier[name])
 
 
-@then("every instance knows the new run of {name:w} alone")
+@then("every instance knows only the new run of {name:w}")
 def step_known(context, name):
     """Check the entries of that name."""
     born = context.entries.installation.runners[name].born
     for entry in context.entries.entries.values():
         listed = entry.kernel.get(Follower).directory.list_all()
-        found = [one.started_at for one in listed if one.name == name]
+        found = [endpoint.started_at for endpoint in listed if endpoint.name == name]
         assert found == [born], (entry.name, found, born)
 
 
-@then("no engine is taken to hold what it does not")
+@then("no engine is recorded as holding an adapter that it does not hold")
 def step_held(context):
-    """Compare the owners' books with what the engines hold."""
+    """Compare the owners' records with the adapters that engines hold."""
     runners = context.entries.installation.runners
     for entry in context.entries.entries.values():
         for term in entry.kernel.get(Owner).list_terms():
