--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -40,28 +40,28 @@
 
 # Seconds between two digests, per subscriber, and the maximum in total. Each
 # digest goes to all subscribers, so the interval grows with their number.
-DIGEST_PERIOD = 0.003
-MOST_DIGEST_PERIOD = 0.15
+DIGEST_INTERVAL = 0.003
+MAX_DIGEST_INTERVAL = 0.15
 # Seconds without a heartbeat after which a subscriber is removed.
-SUBSCRIBER_LIMIT = 4.0
+SUBSCRIBER_TIMEOUT = 4.0
 # Seconds without a heartbeat after which a subscriber is no longer offered a
 # lease; heartbeats are sent every 0.25 s.
-HEIR_LIMIT = 1.0
+SUCCESSOR_TIMEOUT = 1.0
 # Maximum size in bytes of a batch of the operator's rows that is relayed, over
 # all subscribers. Above that, each subscriber reads the store itself.
-MOST_PASSED_ON = 2_000_000
+MAX_RELAYED_BYTES = 2_000_000
 # Seconds before a reply that was dropped, because the connection was not open
 # yet, is sent again, and how often that is tried.
-OPENING_PAUSE = 0.03
-MOST_TRIES = 5
-ASK_LIFE = 3.0  # Seconds for which the requester of a forwarded load is kept.
+OPENING_RETRY_DELAY = 0.03
+MAX_RETRIES = 5
+LOAD_REQUEST_TTL = 3.0  # Seconds for which the requester of a forwarded load is kept.
 
 
 class Subscriber(NamedTuple):
     """A subscriber, and the time in seconds of its last heartbeat."""
 
-    heard_at: float
-    home: str
+    last_seen_at: float
+    zone: str
     is_candidate: bool
     link_mbps: float
 
@@ -136,13 +136,13 @@
         """
         now = self._kernel.clock.now()
         found = [
-            (subscriber.link_mbps, subscriber.heard_at, address)
+            (subscriber.link_mbps, subscriber.last_seen_at, address)
             for address, subscriber in {
                 **self._successors,
                 **self._subscribers,
             }.items()
-            if subscriber.home == zone and subscriber.is_candidate
-            if now - subscriber.heard_at < HEIR_LIMIT
+            if subscriber.zone == zone and subscriber.is_candidate
+            if now - subscriber.last_seen_at < SUCCESSOR_TIMEOUT
         ]
         if found:
             _, _, address = max(found)
@@ -173,7 +173,7 @@
         self._completeness.note(address, message.count, message.is_whole)
         self._subscription.note_member(message)
         self._owner.consider_hand_back(message)
-        self._answer(message, MOST_TRIES)
+        self._answer(message, MAX_RETRIES)
 
     def _answer(self, message: Heartbeat, tries: int) -> None:
         """Reply to a subscriber, and send it the updates that it lacks.
@@ -190,7 +190,7 @@
             is_sent = self._reply(address, message.at, True)
             if not is_sent and tries:
                 retry = lambda: self._answer(message, tries - 1)
-                self._kernel.loop.call_later(OPENING_PAUSE, retry)
+                self._kernel.loop.call_later(OPENING_RETRY_DELAY, retry)
                 return
         now = self._kernel.clock.now()
         self._catch_up(message, now)
@@ -232,12 +232,14 @@
         """Remove subscribers that timed out, and expired load requests."""
         now = self._kernel.clock.now()
         for address, subscriber in list(self._subscribers.items()):
-            if now - subscriber.heard_at > SUBSCRIBER_LIMIT:
+            if now - subscriber.last_seen_at > SUBSCRIBER_TIMEOUT:
                 self._forget(address)
                 self._transport.disconnect(address)
         for key, requested in list(self._requesters.items()):
             recent = {
-                address: at for address, at in requested.items() if now - at < ASK_LIFE
+                address: at
+                for address, at in requested.items()
+                if now - at < LOAD_REQUEST_TTL
             }
             if recent:
                 self._requesters[key] = recent
@@ -255,7 +257,7 @@
 
     def _schedule_digest(self) -> None:
         if self._digest_timer is None and self._subscribers:
-            period = min(MOST_DIGEST_PERIOD, DIGEST_PERIOD * len(self._subscribers))
+            period = min(MAX_DIGEST_INTERVAL, DIGEST_INTERVAL * len(self._subscribers))
             self._digest_timer = self._kernel.loop.call_later(period, self._send_digest)
 
     def _send_digest(self) -> None:
@@ -350,7 +352,7 @@
             return
         rows = self._follower.operator_rows.list_since(since)
         size = sum(len(row.value or b"") for row in rows)
-        if size * len(self._subscribers) <= MOST_PASSED_ON:
+        if size * len(self._subscribers) <= MAX_RELAYED_BYTES:
             update = self._build_operator_update(since, rows)
             self._transport.send_all(self._subscribers, update)
 
