--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -25,15 +25,15 @@
 from roadlift.serving.position import NOWHERE, StorePosition
 from roadlift.serving.telling import WholeTelling
 
-BEAT_PERIOD = 0.25  # Seconds between heartbeats that request a reply.
-PROBE_PERIOD = 1.0  # Seconds between probes of other aggregators.
+HEARTBEAT_INTERVAL = 0.25  # Seconds between heartbeats that request a reply.
+PROBE_INTERVAL = 1.0  # Seconds between probes of other aggregators.
 # Seconds between heartbeats after calls have begun or ended, per subscriber of
 # the aggregator, and the maximum in total.
-TELL_PERIOD = 0.004
-MOST_TELL_PERIOD = 0.25
+REPORT_INTERVAL = 0.004
+MAX_REPORT_INTERVAL = 0.25
 # Seconds after the start in which the operator's rows are read only from the
 # store; after that, an aggregator relays them.
-OWN_READ = 1.0
+DIRECT_READ_WINDOW = 1.0
 
 log = PartLog("subscription")
 
@@ -119,8 +119,8 @@
             self._unsubscribe(before)
             self._forget_stream()
             self._beat_at = float("-inf")
-        if now - self._beat_at >= BEAT_PERIOD - TELL_PERIOD:
-            self.beat(True)
+        if now - self._beat_at >= HEARTBEAT_INTERVAL - REPORT_INTERVAL:
+            self.send_heartbeat(True)
         self._probe_others(candidates, now)
         if self._sources.is_alive(now):
             self._follower.note_heard(now + SOURCE_LIMIT, self._members)
@@ -139,7 +139,7 @@
 
     def _probe_others(self, candidates: dict[str, Candidate], now: float) -> None:
         """Probe the aggregators that may be chosen next."""
-        if now - self._probe_at < PROBE_PERIOD:
+        if now - self._probe_at < PROBE_INTERVAL:
             return
         self._probe_at = now
         for address in self._sources.list_others(candidates):
@@ -150,13 +150,15 @@
         if address:
             self._send(address, WholeTelling(0, False, []), True, 0.0)
 
-    def plan(self) -> None:
+    def schedule_heartbeat(self) -> None:
         """Schedule a heartbeat that reports calls, unless one is scheduled."""
         if self._is_open and self._timer is None:
-            period = min(MOST_TELL_PERIOD, TELL_PERIOD * self._members)
-            self._timer = self._kernel.loop.call_later(period, lambda: self.beat(False))
+            period = min(MAX_REPORT_INTERVAL, REPORT_INTERVAL * self._members)
+            self._timer = self._kernel.loop.call_later(
+                period, lambda: self.send_heartbeat(False)
+            )
 
-    def beat(self, wants_reply: bool) -> None:
+    def send_heartbeat(self, wants_reply: bool) -> None:
         """Send a heartbeat with a usage report."""
         if self._timer is not None:
             self._timer.close()
@@ -201,7 +203,7 @@
         It is -1 while all rows are still being read.
         """
         position = self._follower.operator_position
-        is_reading = self._kernel.clock.now() - self._started_at < OWN_READ
+        is_reading = self._kernel.clock.now() - self._started_at < DIRECT_READ_WINDOW
         return -1 if position == NOWHERE and is_reading else position.pack()
 
     # Messages from aggregators.
@@ -224,7 +226,7 @@
         self._knowledge.note_instances("", reply.instances)
         if not reply.is_complete:
             self._request_full_report()
-            self.plan()
+            self.schedule_heartbeat()
         if reply.asked_at:
             known = StorePosition.unpack(reply.operator_place)
             self._follower.note_operator_state(
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -103,7 +103,7 @@
         if self._is_direct:
             self._owners.plan(zone)
         else:
-            self._source.plan()
+            self._source.schedule_heartbeat()
 
     def _count_reading(self, endpoint: str) -> int:
         local = self._knowledge.workload.count_own_reading(endpoint)
