--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -18,10 +18,10 @@
 from roadlift.serving.newslog import unpack_changes
 from roadlift.serving.telling import Telling
 
-SUBSCRIBE_PERIOD = 0.25  # Maximum seconds between messages to each owner.
+SUBSCRIBE_INTERVAL = 0.25  # Maximum seconds between messages to each owner.
 # Seconds before a message to an owner after calls have begun or ended. An
 # aggregator collects the changes of all its subscribers in that time.
-TELL_PERIOD = 0.05
+REPORT_DELAY = 0.05
 
 
 class OwnerStreams:
@@ -75,17 +75,17 @@
         now = self._kernel.clock.now()
         for zone in self._leases.list_zones():
             last = self._sent_at.get(zone, float("-inf"))
-            if now - last >= SUBSCRIBE_PERIOD - TELL_PERIOD:
-                self.tell(zone)
+            if now - last >= SUBSCRIBE_INTERVAL - REPORT_DELAY:
+                self.send_subscription(zone)
 
-    def plan(self, zone: str) -> None:
+    def schedule_subscription(self, zone: str) -> None:
         """Schedule a message to a zone's owner, unless one is scheduled."""
         if self._is_open and zone not in self._timers:
             self._timers[zone] = self._kernel.loop.call_later(
-                TELL_PERIOD, lambda: self.tell(zone)
+                REPORT_DELAY, lambda: self.send_subscription(zone)
             )
 
-    def tell(self, zone: str) -> None:
+    def send_subscription(self, zone: str) -> None:
         """Send a zone's owner a subscription with a usage report."""
         timer = self._timers.pop(zone, None)
         if timer is not None:
@@ -122,7 +122,7 @@
             self._knowledge.take_loads(pulse.loads)
         if not pulse.is_complete:
             self._request_full_report(pulse.zone)
-            self.plan(pulse.zone)
+            self.schedule_subscription(pulse.zone)
 
     def _handle_loads(self, sender: str, loads: EngineLoads) -> None:
         if loads.zone in self._pulses:
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -101,7 +101,7 @@
 
     def _schedule(self, zone: str) -> None:
         if self._is_direct:
-            self._owners.plan(zone)
+            self._owners.schedule_subscription(zone)
         else:
             self._source.schedule_heartbeat()
 
@@ -134,7 +134,7 @@
             for endpoint, tokens in reading:
                 self._members.note_reading(member, zone, endpoint, tokens)
                 self._usage_reports.note_reading(zone, endpoint)
-            self._owners.plan(zone)
+            self._owners.schedule_subscription(zone)
 
     def forget_member(self, member: str) -> None:
         """Remove the calls that a subscriber reported."""
@@ -145,4 +145,4 @@
     def _apply_changes(self, changes: list[UseChange]) -> None:
         for location, begun, change in changes:
             self._usage_reports.note_use(*location, begun, change)
-            self._owners.plan(location.zone)
+            self._owners.schedule_subscription(location.zone)
