--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -171,7 +171,7 @@
             now, message.home, message.is_candidate, message.link_mbps
         )
         self._completeness.note(address, message.count, message.is_whole)
-        self._subscription.note_member(message)
+        self._subscription.record_member_usage(message)
         self._owner.consider_hand_back(message)
         self._answer(message, MAX_RETRIES)
 
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -332,7 +332,7 @@
             return
         self._note_reading(endpoint, call.tokens_in)
         if call.model.adapter:
-            self._subscription.note_use(endpoint, call.model, 1)
+            self._subscription.record_use(endpoint, call.model, 1)
 
     def note_read(self, endpoint: Endpoint, call: Call) -> None:
         """Count a call's prompt as read, or as not to be read any more."""
@@ -346,11 +346,11 @@
             now = self._kernel.clock.now()
             self._services.find_own(endpoint.service).end(has_run, now)
         if call.model is not None and call.model.adapter:
-            self._subscription.note_use(endpoint, call.model, -1)
+            self._subscription.record_use(endpoint, call.model, -1)
 
     def _note_reading(self, endpoint: Endpoint, change: int) -> None:
         self._workload.change_reading(endpoint.id, change)
-        self._subscription.note_reading(endpoint)
+        self._subscription.record_reading_change(endpoint)
 
     def is_known(self, service: str) -> bool:
         """Tell whether a service has an endpoint that takes calls."""
@@ -462,7 +462,7 @@
             is_missing,
             False,
         )
-        self._subscription.send_ask(ask)
+        self._subscription.send_load_request(ask)
 
     def _ask_again(self) -> None:
         now = self._kernel.clock.now()
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -17,7 +17,7 @@
 from roadlift.serving.messages import Ask, Denial, Heartbeat
 from roadlift.serving.telling import Tellings
 
-TICK = 0.1  # Seconds between checks for reports that are due.
+CHECK_INTERVAL = 0.1  # Seconds between checks for reports that are due.
 
 
 @parts.register("subscription")
@@ -53,7 +53,7 @@
     def start(self) -> None:
         """Start sending reports and receiving updates."""
         self._source.open()
-        self._timer = self._kernel.loop.call_every(TICK, self._tick)
+        self._timer = self._kernel.loop.call_every(CHECK_INTERVAL, self._tick)
 
     def close(self) -> None:
         """Stop sending reports and receiving updates."""
@@ -88,13 +88,13 @@
 
     # Local calls.
 
-    def note_use(self, endpoint: Endpoint, model: Model, change: int) -> None:
+    def record_use(self, endpoint: Endpoint, model: Model, change: int) -> None:
         """Count a call of this process that begins (1) or ends (-1)."""
         begun = max(0, change)
         self._usage_reports.note_use(endpoint.zone, endpoint.id, model, begun, change)
         self._schedule(endpoint.zone)
 
-    def note_reading(self, endpoint: Endpoint) -> None:
+    def record_reading_change(self, endpoint: Endpoint) -> None:
         """Record that the unread prompt tokens of local calls have changed."""
         self._usage_reports.note_reading(endpoint.zone, endpoint.id)
         self._schedule(endpoint.zone)
@@ -109,7 +109,7 @@
         local = self._knowledge.workload.count_own_reading(endpoint)
         return local + self._members.count_reading(endpoint)
 
-    def send_ask(self, ask: Ask) -> None:
+    def send_load_request(self, ask: Ask) -> None:
         """Send a load request to the zone's owner or to the aggregator.
 
         If neither is known, the request is denied immediately.
@@ -124,7 +124,7 @@
 
     # Calls of subscribers, if this process is an aggregator.
 
-    def note_member(self, heartbeat: Heartbeat) -> None:
+    def record_member_usage(self, heartbeat: Heartbeat) -> None:
         """Record the calls that a subscriber reports in its heartbeat."""
         member = heartbeat.address
         if heartbeat.is_whole:
