--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -208,7 +208,7 @@
             self._completeness.is_complete(address),
             self._knowledge.count_instances(),
             1 + len(self._subscribers),
-            [list(liveness) for liveness in self._knowledge.list_signs()],
+            [list(liveness) for liveness in self._knowledge.list_owner_liveness()],
             self._list_serial,
             follower.list_position.pack(),
             round(follower.measure_list_age(), 3),
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -28,7 +28,7 @@
 from roadlift.instance.crashes import CrashWatch
 from roadlift.instance.follower import Follower
 from roadlift.instance.gate import Gate, Passage
-from roadlift.instance.knowledge import OWNER_RETURN, Knowledge
+from roadlift.instance.knowledge import OWNER_RETURN_TIMEOUT, Knowledge
 from roadlift.instance.placing import Placing
 from roadlift.instance.platform import Platform
 from roadlift.instance.progress import Progress
@@ -240,8 +240,11 @@
         if model is None or not model.adapter or not is_servable:
             self._fail(NoEndpoint(f"service {self._service}", COME_BACK))
             return
-        if self._knowledge.is_owner_due() and self._measure_stay(now) > OWNER_RETURN:
-            self._note("wait", expected=OWNER_RETURN)
+        if (
+            self._knowledge.is_owner_expected()
+            and self._measure_stay(now) > OWNER_RETURN_TIMEOUT
+        ):
+            self._note("wait", expected=OWNER_RETURN_TIMEOUT)
             self._kernel.loop.call_later(OWNER_TICK, self._try)
             return
         if self._is_behind_rest(model):
@@ -364,7 +367,7 @@
         """
         if self.call.model is None:
             return {}
-        silence = self._knowledge.measure_silence(endpoint.zone)
+        silence = self._knowledge.compute_inactivity(endpoint.zone)
         return {"sign": round(silence, 3)} if isfinite(silence) else {}
 
     def _choose_priority(self, endpoint: Endpoint, now: float) -> int:
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -19,16 +19,16 @@
 from roadlift.serving.newslog import Change
 from roadlift.serving.residency import Residency
 
-TICK = 0.1  # Seconds between checks for unresponsive owners.
+CHECK_INTERVAL = 0.1  # Seconds between checks for unresponsive owners.
 # Seconds of inactivity after which an owner is sent no requests. Its liveness
 # signal is sent every 0.25 s; if one is lost on a link, the next one arrives
 # 0.2 to 0.6 s later. A signal that an aggregator relays is older by the
 # aggregator's interval.
-OWNER_LIMIT = 0.9
+OWNER_TIMEOUT = 0.9
 # Seconds within which an owner is replaced by another, or is back after all
 # instances restarted. Calls wait for an owner for that time, and are refused
 # afterwards.
-OWNER_RETURN = 1.2
+OWNER_RETURN_TIMEOUT = 1.2
 
 
 class _Owner(NamedTuple):
@@ -76,7 +76,9 @@
     def start(self) -> None:
         """Start checking for unresponsive owners."""
         self._started_at = self._kernel.clock.now()
-        self._timer = self._kernel.loop.call_every(TICK, self._ignore_unresponsive)
+        self._timer = self._kernel.loop.call_every(
+            CHECK_INTERVAL, self._ignore_unresponsive
+        )
 
     def close(self) -> None:
         """Stop checking for unresponsive owners."""
@@ -86,13 +88,13 @@
 
     def put(self, endpoint: str, model: Model, version: int) -> None:
         """Record that an engine holds an adapter."""
-        self.take_changes([Change(endpoint, *model, version)])
+        self.apply_changes([Change(endpoint, *model, version)])
 
     def drop(self, endpoint: str, model: Model) -> None:
         """Record that an engine does not hold an adapter."""
-        self.take_changes([Change(endpoint, *model, -1)])
+        self.apply_changes([Change(endpoint, *model, -1)])
 
-    def take_listing(self, engines: Iterable[list]) -> None:
+    def apply_listing(self, engines: Iterable[list]) -> None:
         """Replace the adapters that engines hold; see ``Listing``."""
         for endpoint, adapters in engines:
             held = {Model(base, name): version for base, name, version in adapters}
@@ -103,7 +105,7 @@
             there = [
                 Change(endpoint, *model, version) for model, version in held.items()
             ]
-            self.take_changes([*gone, *there])
+            self.apply_changes([*gone, *there])
 
     def _handle_loaded(self, sender: str, loaded: Loaded) -> None:
         model = Model(loaded.base, loaded.adapter)
@@ -113,7 +115,7 @@
         for listener in self.on_denial:
             listener(denial)
 
-    def take_changes(self, changes: list[Change]) -> None:
+    def apply_changes(self, changes: list[Change]) -> None:
         """Apply changes in order."""
         held = [self._apply_change(change) for change in changes]
         for listener in self.on_changes:
@@ -149,7 +151,7 @@
 
     # The loads of engines.
 
-    def take_loads(self, loads: Iterable[list]) -> None:
+    def apply_loads(self, loads: Iterable[list]) -> None:
         """Apply the reported loads of engines; see ``EngineLoads``."""
         for endpoint, *fields in loads:
             known = self._follower.directory.get(endpoint)
@@ -168,7 +170,7 @@
 
     # The owners.
 
-    def note_sign(self, liveness: OwnerSign) -> None:
+    def record_owner_liveness(self, liveness: OwnerSign) -> None:
         """Record an owner's liveness signal, unless a later one is known."""
         now = self._kernel.clock.now()
         owner = _Owner(
@@ -179,10 +181,10 @@
             return
         self._owners[liveness.zone] = owner
         self._leases.note_owner(liveness.zone, liveness.address, liveness.fence)
-        if now - owner.received_at < OWNER_LIMIT or not liveness.is_ready:
+        if now - owner.received_at < OWNER_TIMEOUT or not liveness.is_ready:
             self._leases.note_sign(liveness.zone, liveness.is_ready)
 
-    def list_signs(self) -> list[OwnerSign]:
+    def list_owner_liveness(self) -> list[OwnerSign]:
         """Return each owner's last liveness signal, with its current age."""
         now = self._kernel.clock.now()
         return [
@@ -193,7 +195,7 @@
             for owner in self._owners.values()
         ]
 
-    def measure_silence(self, zone: str) -> float:
+    def compute_inactivity(self, zone: str) -> float:
         """Return the seconds since a zone's owner was last seen alive."""
         owner = self._owners.get(zone)
         return self._kernel.clock.now() - owner.received_at if owner else float("inf")
@@ -202,9 +204,9 @@
         """Return whether a zone has a live owner that may give orders."""
         owner = self._owners.get(zone)
         is_ready = owner is not None and owner.liveness.is_ready
-        return is_ready and self.measure_silence(zone) < OWNER_LIMIT
+        return is_ready and self.compute_inactivity(zone) < OWNER_TIMEOUT
 
-    def is_owner_due(self) -> bool:
+    def is_owner_expected(self) -> bool:
         """Return whether an owner is expected to appear shortly.
 
         That is so if one was active recently, or if this process has just
@@ -216,9 +218,9 @@
             if owner.liveness.is_ready
         ]
         last = max(received, default=self._started_at)
-        return self._kernel.clock.now() - last < OWNER_RETURN
+        return self._kernel.clock.now() - last < OWNER_RETURN_TIMEOUT
 
-    def note_instances(self, reporter: str, count: int) -> None:
+    def record_instance_count(self, reporter: str, count: int) -> None:
         """Record how many instances an owner or an aggregator knows of."""
         self._instances[reporter] = count
 
@@ -229,7 +231,9 @@
     def _ignore_unresponsive(self) -> None:
         """Ignore the reported loads of the engines of unresponsive owners."""
         unresponsive = [
-            zone for zone in self._owners if self.measure_silence(zone) > OWNER_LIMIT
+            zone
+            for zone in self._owners
+            if self.compute_inactivity(zone) > OWNER_TIMEOUT
         ]
         self.workload.pass_over(unresponsive)
 
--- a/roadlift/instance/ownerstreams.py
+++ b/roadlift/instance/ownerstreams.py
@@ -112,32 +112,32 @@
             return
         self._pulses[pulse.zone] = (pulse.fence, pulse.serial)
         address = self._leases.find_owner(pulse.zone) or ""
-        self._knowledge.note_sign(
+        self._knowledge.record_owner_liveness(
             OwnerSign(
                 pulse.zone, address, pulse.fence, pulse.is_ready, 0.0, pulse.list_age
             )
         )
-        self._knowledge.note_instances(pulse.zone, pulse.instances)
+        self._knowledge.record_instance_count(pulse.zone, pulse.instances)
         if pulse.loads:
-            self._knowledge.take_loads(pulse.loads)
+            self._knowledge.apply_loads(pulse.loads)
         if not pulse.is_complete:
             self._request_full_report(pulse.zone)
             self.schedule_subscription(pulse.zone)
 
     def _handle_loads(self, sender: str, loads: EngineLoads) -> None:
         if loads.zone in self._pulses:
-            self._knowledge.take_loads(loads.loads)
+            self._knowledge.apply_loads(loads.loads)
 
     def _handle_listing(self, sender: str, listing: Listing) -> None:
         fence, _ = self._known.get(listing.zone, (0, 0))
         if not self._is_open or listing.fence < fence:
             return
         self._known[listing.zone] = (listing.fence, listing.serial)
-        self._knowledge.take_listing(listing.engines)
+        self._knowledge.apply_listing(listing.engines)
 
     def _handle_update(self, sender: str, update: News) -> None:
         if self._is_open and self._record_serial(update):
-            self._knowledge.take_changes(list(unpack_changes(update.changes)))
+            self._knowledge.apply_changes(list(unpack_changes(update.changes)))
 
     def _record_serial(self, update: News) -> bool:
         """Record the serial of an owner's update; return False if it is known.
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -411,7 +411,7 @@
         endpoint = wish.engine.endpoint
         known = self._follower.directory.get(endpoint.id)
         is_there = known is not None and not known.is_draining
-        silence = self._knowledge.measure_silence(endpoint.zone)
+        silence = self._knowledge.compute_inactivity(endpoint.zone)
         is_owned = silence < SIGN_LIMIT and self._knowledge.has_owner(endpoint.zone)
         if is_there and is_owned:
             wish.asked_at = now
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -128,7 +128,10 @@
 
     def _list_candidates(self) -> dict[str, Candidate]:
         """Return the known owners by zone."""
-        ages = {owner.zone: owner.list_age for owner in self._knowledge.list_signs()}
+        ages = {
+            owner.zone: owner.list_age
+            for owner in self._knowledge.list_owner_liveness()
+        }
         found = {}
         for zone in self._leases.list_zones():
             address = self._leases.find_owner(zone)
@@ -212,7 +215,7 @@
         if not self._is_open:
             return
         for fields in reply.owners:
-            self._knowledge.note_sign(read_fields(OwnerSign, fields))
+            self._knowledge.record_owner_liveness(read_fields(OwnerSign, fields))
         address = reply.address
         age = reply.list_age
         if reply.asked_at:
@@ -223,7 +226,7 @@
             self._stream, self._serial, self._list_serial = reply.stream, -1, 0
         self._last_serial = reply.serial
         self._members = max(1, reply.members)
-        self._knowledge.note_instances("", reply.instances)
+        self._knowledge.record_instance_count("", reply.instances)
         if not reply.is_complete:
             self._request_full_report()
             self.schedule_heartbeat()
@@ -247,17 +250,17 @@
             self._serial = digest.serial
         self._last_serial = max(self._last_serial, digest.serial)
         if digest.loads:
-            self._knowledge.take_loads(digest.loads)
+            self._knowledge.apply_loads(digest.loads)
         changes = list(unpack_changes(digest.changes))
         if changes:
-            self._knowledge.take_changes(changes)
+            self._knowledge.apply_changes(changes)
 
     def _handle_snapshot(self, sender: str, snapshot: Snapshot) -> None:
         if not self._is_open or snapshot.stream != self._stream:
             return
         self._serial = max(self._serial, snapshot.serial)
-        self._knowledge.take_loads(snapshot.loads)
-        self._knowledge.take_listing(snapshot.engines)
+        self._knowledge.apply_loads(snapshot.loads)
+        self._knowledge.apply_listing(snapshot.engines)
 
     def _handle_list_update(self, sender: str, update: ListNews) -> None:
         if not self._is_open or update.stream != self._stream:
