--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -149,7 +149,7 @@
         limit = self._kernel.settings.revoke_ms / 1000.0
         if not limit or self._follower.keys is None:
             return
-        age = self._follower.measure_operator_age()
+        age = self._follower.compute_operator_age()
         if age > limit - SEND_MARGIN:
             raise StaleConfiguration(f"known as of {age:.2f} s ago", OLD_RETURN)
 
@@ -183,7 +183,7 @@
         """Return what a call is judged by, where callers have keys."""
         if call is None or self._follower.keys is None:
             return None
-        age = self._follower.measure_operator_age()
+        age = self._follower.compute_operator_age()
         organisation = self._follower.keys.find(call.key)
         if organisation is None:
             return Judgement(age)
--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -211,9 +211,9 @@
             [list(liveness) for liveness in self._knowledge.list_owner_liveness()],
             self._list_serial,
             follower.list_position.pack(),
-            round(follower.measure_list_age(), 3),
+            round(follower.compute_list_age(), 3),
             follower.operator_position.pack(),
-            follower.measure_operator_age(),
+            follower.compute_operator_age(),
             asked_at,
         )
         return self._transport.send(address, reply)
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -737,7 +737,7 @@
             seconds=round(now - self._began_at, 4),
             error=str(error) if error else None,
             configuration=self._configuration,
-            list_age=round(self._follower.measure_list_age(), 2),
+            list_age=round(self._follower.compute_list_age(), 2),
             steps=self._progress.steps,
         )
 
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -34,30 +34,30 @@
 # timeout of 0.7 s. After the retry delay, the next poll brings the change,
 # within the 3 s that are allowed after the loss of a connection. With 3.0, the
 # change arrived after 3.9 s.
-OPERATOR_WAIT = 1.5
+OPERATOR_POLL_WAIT = 1.5
 # Seconds between reads of the list. Two reads fit into the two seconds after
 # which no call may reach a draining endpoint; each read is a billed call.
-DIRECTORY_PERIOD = 0.7
+DIRECTORY_READ_INTERVAL = 0.7
 # Seconds after an aggregator's read of the list during which its subscribers
 # need not read it: twice the interval between its reads. Subscribers then
 # learn that an endpoint is draining within 1.7 s; the platform allows 2 s.
-RELAY_LIMIT = 1.4
+RELAY_MAX_AGE = 1.4
 # Seconds after the announcement of an operator's row within which the
 # aggregator is expected to relay it. After that, an instance reads the table.
-OPERATOR_GRACE = 0.6
+OPERATOR_RELAY_TIMEOUT = 0.6
 # Approximate maximum number of subscribers of one aggregator that read the
 # store while the aggregator cannot: more would use up the store's capacity.
-MOST_READERS = 4
+MAX_READERS = 4
 # Maximum seconds between the reads of a subscriber that reaches the store. The
 # store may reject only the aggregators: the lists of their 24 subscribers were
 # then 5 s old, and calls reached endpoints 3.5 s after they had left.
-LONGEST_TURN = 1.2
+MAX_READ_INTERVAL = 1.2
 # Fractions of the time for which a revoked key may still be served. The first
 # limits how long a poll waits at the store, so that relayed state is never
 # older than a third of that time. The second is the age after which an
 # instance reads the table itself, whether or not others read it.
-POLL_PART = 0.15
-OLD_PART = 0.45
+POLL_WAIT_FRACTION = 0.15
+MAX_AGE_FRACTION = 0.45
 
 log = PartLog("follower")
 
@@ -123,7 +123,7 @@
             self._kernel,
             self._format.directory_table,
             lambda: 0.0,
-            DIRECTORY_PERIOD,
+            DIRECTORY_READ_INTERVAL,
             self._handle_directory,
             self._handle_reachable,
             self._may_pause_directory,
@@ -131,7 +131,9 @@
         self._readers = [operator, directory]
         for reader in self._readers:
             reader.start()
-        self._timer = self._kernel.loop.call_every(DIRECTORY_PERIOD, self._expire)
+        self._timer = self._kernel.loop.call_every(
+            DIRECTORY_READ_INTERVAL, self._expire
+        )
 
     def close(self) -> None:
         """Stop following the tables."""
@@ -144,16 +146,16 @@
         """Return the store's position up to which the list is known."""
         return self._readers[1].position
 
-    def note_state(
+    def record_list_state(
         self, list_position: StorePosition, list_age: float, asked_at: float
     ) -> None:
         """Record up to where an aggregator, whose list is known, has read."""
-        self._relay_valid_until = asked_at + RELAY_LIMIT - list_age
+        self._relay_valid_until = asked_at + RELAY_MAX_AGE - list_age
         if self._readers[1].is_resting:
             self._readers[1].skip_to(list_position)
             self._readers[1].answered_at = asked_at - list_age
 
-    def note_operator_state(
+    def record_operator_state(
         self, position: StorePosition, age: float, asked_at: float
     ) -> None:
         """Record up to where an aggregator knows the operator's rows.
@@ -166,13 +168,13 @@
         self.freshness.note_relay(RelayedState(position, asked_at - age))
         if position > self._operator_target:
             self._operator_target = position
-            self._grace_until = self._kernel.clock.now() + OPERATOR_GRACE
+            self._grace_until = self._kernel.clock.now() + OPERATOR_RELAY_TIMEOUT
 
-    def measure_operator_age(self) -> float:
+    def compute_operator_age(self) -> float:
         """Return the seconds for which a change may have gone unnoticed."""
         return self.freshness.measure_age(self._kernel.clock.now())
 
-    def note_heard(self, until: float, members: int) -> None:
+    def record_source_alive(self, until: float, members: int) -> None:
         """Record until when the aggregator counts as alive.
 
         ``members`` is the number of its subscribers. While its list is old,
@@ -181,7 +183,7 @@
         self._source_alive_until = until
         self._members = members
 
-    def relay_operator(self, update: OperatorNews) -> None:
+    def apply_operator_update(self, update: OperatorNews) -> None:
         """Apply rows of the operator's table that an aggregator relayed."""
         try:
             rows = [unpack_row(fields) for fields in update.rows]
@@ -195,7 +197,7 @@
             # missing rows.
             self._advance_operator_position(max(row.position for row in rows))
 
-    def relay_list(self, update: ListNews) -> None:
+    def apply_list_update(self, update: ListNews) -> None:
         """Apply changes of the endpoint list that an aggregator relayed."""
         before = self.directory.revision
         for fields in update.changed:
@@ -220,12 +222,16 @@
 
     def _may_pause_directory(self) -> bool:
         """Return whether the list need not be read now."""
-        return self.is_relayed() or self._is_left_to_others(1, DIRECTORY_PERIOD)
+        return self.is_relayed() or self._is_left_to_others(1, DIRECTORY_READ_INTERVAL)
 
     def _compute_operator_wait(self) -> float:
         """Return the seconds that a poll of the operator's table waits."""
         limit = self._kernel.settings.revoke_ms / 1000.0
-        return min(OPERATOR_WAIT, limit * POLL_PART) if limit else OPERATOR_WAIT
+        return (
+            min(OPERATOR_POLL_WAIT, limit * POLL_WAIT_FRACTION)
+            if limit
+            else OPERATOR_POLL_WAIT
+        )
 
     def _is_operator_old(self) -> bool:
         """Return whether the operator's rows are nearly too old to serve.
@@ -234,14 +240,14 @@
         """
         limit = self._kernel.settings.revoke_ms / 1000.0
         is_limited = bool(limit) and self.keys is not None
-        return is_limited and self.measure_operator_age() > limit * OLD_PART
+        return is_limited and self.compute_operator_age() > limit * MAX_AGE_FRACTION
 
     def _may_pause_operator(self) -> bool:
         """Return whether the operator's table need not be read now."""
         if self._is_operator_old():
             return False
         if not self.is_relayed():
-            return self._is_left_to_others(0, OPERATOR_WAIT)
+            return self._is_left_to_others(0, OPERATOR_POLL_WAIT)
         is_current = self.operator_position >= self._operator_target
         return is_current or self._kernel.clock.now() < self._grace_until
 
@@ -251,12 +257,12 @@
         if self.is_reader() or now >= self._source_alive_until:
             return False
         reader = self._readers[number]
-        pause = interval * self._members / MOST_READERS
+        pause = interval * self._members / MAX_READERS
         if reader.is_reachable:
-            pause = min(pause, LONGEST_TURN)
+            pause = min(pause, MAX_READ_INTERVAL)
         return now - reader.asked_at < pause
 
-    def measure_list_age(self) -> float:
+    def compute_list_age(self) -> float:
         """Return the seconds since the list of endpoints was last read."""
         return self._kernel.clock.now() - self._readers[1].answered_at
 
@@ -439,7 +445,7 @@
         before = self.directory.revision
         self.directory.expire(self._kernel.clock.now())
         self._notify_directory(before)
-        age = self.measure_operator_age()
+        age = self.compute_operator_age()
         self._measures.set("roadlift_configuration_age_seconds", age)
 
     def _notify_directory(self, before: int) -> None:
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -123,7 +123,7 @@
             self.send_heartbeat(True)
         self._probe_others(candidates, now)
         if self._sources.is_alive(now):
-            self._follower.note_heard(now + SOURCE_LIMIT, self._members)
+            self._follower.record_source_alive(now + SOURCE_LIMIT, self._members)
             self._leases.note_members(self._members)
 
     def _list_candidates(self) -> dict[str, Candidate]:
@@ -232,12 +232,12 @@
             self.schedule_heartbeat()
         if reply.asked_at:
             known = StorePosition.unpack(reply.operator_place)
-            self._follower.note_operator_state(
+            self._follower.record_operator_state(
                 known, reply.operator_age, reply.asked_at
             )
         if reply.asked_at and reply.list_serial == self._list_serial:
             listed = StorePosition.unpack(reply.list_place)
-            self._follower.note_state(listed, age, reply.asked_at)
+            self._follower.record_list_state(listed, age, reply.asked_at)
 
     def _handle_digest(self, sender: str, digest: Digest) -> None:
         if not self._is_open or digest.stream != self._stream:
@@ -274,7 +274,7 @@
             # After a gap the next heartbeat makes the aggregator send the
             # full list.
             self._list_serial = update.serial
-            self._follower.relay_list(update)
+            self._follower.apply_list_update(update)
 
     def _log_ignored_list(self, update: ListNews) -> None:
         """Log the first of several lists that are older than the local one."""
@@ -286,4 +286,4 @@
 
     def _handle_operator_update(self, sender: str, update: OperatorNews) -> None:
         if self._is_open and update.stream == self._stream:
-            self._follower.relay_operator(update)
+            self._follower.apply_operator_update(update)
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -260,7 +260,7 @@
             self._is_ready(now),
             self._completeness.is_complete(address),
             loads,
-            round(self._follower.measure_list_age(), 3),
+            round(self._follower.compute_list_age(), 3),
         )
 
     def _catch_up(self, message: Subscribe, now: float) -> None:
--- a/tests/steps/aggregator_steps.py
+++ b/tests/steps/aggregator_steps.py
@@ -125,7 +125,7 @@
     (plain,) = _list_plain(context)
     context.other = plain.name
     update = OperatorNews(1, 0, [["config", 10**9, b"no packed value"]])
-    plain.kernel.get(Follower).relay_operator(update)
+    plain.kernel.get(Follower).apply_operator_update(update)
 
 
 @when(
