--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -151,8 +151,8 @@
     ) -> None:
         """Record up to where an aggregator, whose list is known, has read."""
         self._relay_valid_until = asked_at + RELAY_MAX_AGE - list_age
-        if self._readers[1].is_resting:
-            self._readers[1].skip_to(list_position)
+        if self._readers[1].is_paused:
+            self._readers[1].advance_to(list_position)
             self._readers[1].answered_at = asked_at - list_age
 
     def record_operator_state(
@@ -260,7 +260,7 @@
         pause = interval * self._members / MAX_READERS
         if reader.is_reachable:
             pause = min(pause, MAX_READ_INTERVAL)
-        return now - reader.asked_at < pause
+        return now - reader.requested_at < pause
 
     def compute_list_age(self) -> float:
         """Return the seconds since the list of endpoints was last read."""
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -12,8 +12,8 @@
 from roadlift.serving.position import NOWHERE, StorePosition
 
 # Seconds between checks whether a paused reader has to read again.
-REST_LOOK = 0.2
-RETRY_PAUSE = 0.2  # Seconds between a failed read and the next one.
+PAUSE_CHECK_INTERVAL = 0.2
+RETRY_DELAY = 0.2  # Seconds between a failed read and the next one.
 
 log = PartLog("follower")
 
@@ -37,7 +37,7 @@
         on_rows: Callable[[Rows, bool], None],
         on_return: Callable[[], None],
         may_pause: Callable[[], bool],
-        retry_delay: float = RETRY_PAUSE,
+        retry_delay: float = RETRY_DELAY,
     ) -> None:
         self._loop = kernel.loop
         self._clock = kernel.clock
@@ -55,8 +55,8 @@
         # connection is detected late, so the first one after a failure or an
         # outage does not wait at the store.
         self._was_answered = True
-        self.is_resting = False
-        self.asked_at = float("-inf")
+        self.is_paused = False
+        self.requested_at = float("-inf")
         self._is_open = True
         self._is_started = False
         self._round = 0
@@ -85,7 +85,7 @@
         """Return the store's position up to which the table is known."""
         return self._position or NOWHERE
 
-    def skip_to(self, position: StorePosition) -> None:
+    def advance_to(self, position: StorePosition) -> None:
         """Advance to a position up to which another instance saw no change."""
         if self._position is not None:
             self._position = max(self._position, position)
@@ -99,11 +99,11 @@
         """Read, unless ``number`` is no longer the current round."""
         if not self._is_open or number != self._round:
             return
-        self.is_resting = self._position is not None and self._may_pause()
-        if self.is_resting:
-            self._loop.call_later(REST_LOOK, lambda: self._read(number))
+        self.is_paused = self._position is not None and self._may_pause()
+        if self.is_paused:
+            self._loop.call_later(PAUSE_CHECK_INTERVAL, lambda: self._read(number))
             return
-        self.asked_at = self._clock.now()
+        self.requested_at = self._clock.now()
         # Versions of an earlier era cannot select the changes of this one.
         is_full = self._position is None or not self._is_current()
         handle_rows = lambda rows: self._handle_rows(number, rows, is_full)
