--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -106,7 +106,7 @@
         self._follower.on_directory.append(self._relay_list)
         self._follower.on_operator.append(self._relay_operator)
         self._leases.on_change.append(lambda zone: self._check_serving())
-        self._leases.on_hand_back.append(self._offer_lease)
+        self._leases.on_release.append(self._offer_lease)
 
     def start(self) -> None:
         """Start the periodic expiry of subscribers and load requests."""
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -180,9 +180,9 @@
         if known is not None and owner.received_at <= known.received_at:
             return
         self._owners[liveness.zone] = owner
-        self._leases.note_owner(liveness.zone, liveness.address, liveness.fence)
+        self._leases.record_owner(liveness.zone, liveness.address, liveness.fence)
         if now - owner.received_at < OWNER_TIMEOUT or not liveness.is_ready:
-            self._leases.note_sign(liveness.zone, liveness.is_ready)
+            self._leases.record_owner_alive(liveness.zone, liveness.is_ready)
 
     def list_owner_liveness(self) -> list[OwnerSign]:
         """Return each owner's last liveness signal, with its current age."""
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -16,39 +16,39 @@
 from roadlift.serving.position import StorePosition
 
 TABLE = "roadlift_leases"
-TICK = 0.1  # Seconds between checks for steps that are due.
-READ_PERIOD = 0.5  # Seconds between reads while no owner is known.
-PULSE_LIMIT = 1.5  # Seconds of an owner's inactivity until its row is read.
+CHECK_INTERVAL = 0.1  # Seconds between checks for steps that are due.
+READ_INTERVAL = 0.5  # Seconds between reads while no owner is known.
+PULSE_TIMEOUT = 1.5  # Seconds of an owner's inactivity until its row is read.
 # Seconds that a candidate of another zone waits longer than one of the zone.
-FOREIGN_PATIENCE = 2.0
-RANK_PATIENCE = 0.4  # Seconds between the candidates of other zones.
+REMOTE_ZONE_DELAY = 2.0
+ZONE_RANK_DELAY = 0.4  # Seconds between the candidates of other zones.
 # Seconds for which a row that was read is assumed to be current. Before a
 # lease is acquired, an older row is read again, as another candidate may have
 # acquired the lease in the meantime.
-FRESH_READ = 0.1
-JITTER = 0.3  # Maximum seconds of jitter between the candidates of one zone.
+MAX_READ_AGE = 0.1
+MAX_JITTER = 0.3  # Maximum seconds of jitter between the candidates of one zone.
 # Link rate in Mbit/s below which an instance should not own a zone, and the
 # seconds that such an instance waits longer for a lease than others. An owner
 # sent up to 6 Mbit/s to 79 instances in a burst, and on a link of 5 Mbit/s it
 # loaded no adapters for 13 s.
-OWNER_LINK = 20.0
-WEAK_PATIENCE = 0.4
+MIN_OWNER_LINK_MBPS = 20.0
+SLOW_LINK_DELAY = 0.4
 
 # Instances of a zone that read the row of its lease at the full rate while the
 # owner is unresponsive. If there are more, each reads less often: 38 instances
 # that read it twice a second for the 7 s of a lease make 530 calls to the
 # store for each owner that is lost.
-MOST_READERS = 8
+MAX_READERS = 8
 
 # Seconds for which an instance does not acquire a lease that it has released.
-SHUN_PERIOD = 3.0
+REACQUIRE_DELAY = 3.0
 # Seconds for which an instance that was offered a lease checks it each tick.
-HURRY_PERIOD = 1.0
+OFFER_TTL = 1.0
 
 log = PartLog("leases")
 
 
-class ToldOwner(NamedTuple):
+class ReportedOwner(NamedTuple):
     """The owner of a zone as another instance reported it, and its fence."""
 
     address: str
@@ -85,7 +85,7 @@
             for zone in self._zones
         }
         self._received_at: dict[str, float] = {}
-        self._reported: dict[str, ToldOwner] = {}
+        self._reported: dict[str, ReportedOwner] = {}
         self._reacquire_after: dict[str, float] = {}
         self._offered_until: dict[str, float] = {}
         self._members = 1
@@ -95,14 +95,14 @@
         self._is_shutting_down = False
         self._timer = None
         self.on_change: list[Callable[[str], None]] = []
-        self.on_hand_back: list[Callable[[str], None]] = []
+        self.on_release: list[Callable[[str], None]] = []
         self._store.eras.on_return.append(self._handle_store_return)
         transport = kernel.get(Transport)
         transport.subscribe((HandOver,), self._handle_offer)
 
     def start(self) -> None:
         """Start checking the leases."""
-        self._timer = self._kernel.loop.call_every(TICK, self._tick)
+        self._timer = self._kernel.loop.call_every(CHECK_INTERVAL, self._tick)
         self._tick()
 
     def close(self) -> None:
@@ -140,17 +140,17 @@
         holder = lease.holder
         return holder.address if holder else None
 
-    def note_owner(self, zone: str, address: str, fence: int) -> None:
+    def record_owner(self, zone: str, address: str, fence: int) -> None:
         """Record the owner of a zone that another instance reported."""
         known = self._reported.get(zone)
         if zone in self._leases and (known is None or fence > known.fence):
-            self._reported[zone] = ToldOwner(address, fence)
+            self._reported[zone] = ReportedOwner(address, fence)
 
-    def note_members(self, count: int) -> None:
+    def record_subscriber_count(self, count: int) -> None:
         """Record how many instances subscribe to the aggregator in use."""
         self._members = count
 
-    def note_sign(self, zone: str, is_ready: bool) -> None:
+    def record_owner_alive(self, zone: str, is_ready: bool) -> None:
         """Record that a zone's owner is alive, and whether it may give orders.
 
         An owner that may not give orders does not keep other instances from
@@ -168,14 +168,14 @@
         """Release every held lease, and acquire none from now on."""
         self._is_shutting_down = True
         for zone in self.list_held():
-            self.hand_back(zone)
+            self.release_zone(zone)
 
-    def hand_back(self, zone: str) -> None:
+    def release_zone(self, zone: str) -> None:
         """Release a zone's lease, so that another instance can acquire it."""
         lease = self._leases[zone]
         now = self._kernel.clock.now()
         record = lease.release(now)
-        self._reacquire_after[zone] = now + SHUN_PERIOD
+        self._reacquire_after[zone] = now + REACQUIRE_DELAY
         self._count("given_back")
         log.event("lease_released", zone=zone)
         self._notify(zone)
@@ -184,7 +184,7 @@
         self._store.write(row, done, self._log_failed_release)
 
     def _notify_release(self, zone: str) -> None:
-        for listener in self.on_hand_back:
+        for listener in self.on_release:
             listener(zone)
 
     def _handle_offer(self, sender: str, message: HandOver) -> None:
@@ -193,7 +193,7 @@
         if lease is None or lease.is_held or self._is_shutting_down:
             return
         log.event("lease_offered", zone=message.zone)
-        self._offered_until[message.zone] = self._kernel.clock.now() + HURRY_PERIOD
+        self._offered_until[message.zone] = self._kernel.clock.now() + OFFER_TTL
         lease.hurry()
         self._tick()
 
@@ -202,15 +202,15 @@
 
     def _compute_acquire_delay(self, zone: str) -> float:
         """Return how long this process lets others acquire a zone's lease."""
-        jitter = (self._kernel.stamp % 1000) / 1000.0 * JITTER
-        if self._kernel.settings.link_mbps < OWNER_LINK:
-            jitter += WEAK_PATIENCE
+        jitter = (self._kernel.stamp % 1000) / 1000.0 * MAX_JITTER
+        if self._kernel.settings.link_mbps < MIN_OWNER_LINK_MBPS:
+            jitter += SLOW_LINK_DELAY
         if zone == self._kernel.settings.zone:
             return jitter
         count = len(self._zones)
         local = self._zones.index(self._kernel.settings.zone)
         rank = (self._zones.index(zone) - local) % count
-        return FOREIGN_PATIENCE + rank * RANK_PATIENCE + jitter
+        return REMOTE_ZONE_DELAY + rank * ZONE_RANK_DELAY + jitter
 
     def _tick(self) -> None:
         if self._is_shutting_down:
@@ -224,13 +224,17 @@
             step = lease.choose_step(now)
             self._report_loss(zone, lease, was_held, "it could not be written again")
             is_offered = now < self._offered_until.get(zone, 0.0)
-            if is_offered and step is Step.READ and now - self._read_at >= TICK:
+            if (
+                is_offered
+                and step is Step.READ
+                and now - self._read_at >= CHECK_INTERVAL
+            ):
                 must_read = is_due = True
             if step is Step.RENEW:
                 self._write(zone, lease, now)
             elif step is Step.TAKE and now < self._reacquire_after.get(zone, 0.0):
                 continue
-            elif step is Step.TAKE and now - self._read_at > FRESH_READ:
+            elif step is Step.TAKE and now - self._read_at > MAX_READ_AGE:
                 must_read = is_due = True
             elif step is Step.TAKE:
                 self._write(zone, lease, now)
@@ -259,12 +263,12 @@
 
     def _compute_read_interval(self) -> float:
         if self.list_held():
-            return READ_PERIOD
-        return READ_PERIOD * max(1.0, self._members / MOST_READERS)
+            return READ_INTERVAL
+        return READ_INTERVAL * max(1.0, self._members / MAX_READERS)
 
     def _is_owner_alive(self, zone: str, now: float) -> bool:
         received_at = self._received_at.get(zone)
-        return received_at is not None and now - received_at < PULSE_LIMIT
+        return received_at is not None and now - received_at < PULSE_TIMEOUT
 
     def _write(self, zone: str, lease: Lease, now: float) -> None:
         record = lease.send(now)
--- a/roadlift/instance/owner.py
+++ b/roadlift/instance/owner.py
@@ -3,7 +3,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.daemon.transport import Transport
 from roadlift.instance.follower import Follower
-from roadlift.instance.leases import OWNER_LINK, Leases
+from roadlift.instance.leases import MIN_OWNER_LINK_MBPS, Leases
 from roadlift.instance.term import Term, deny
 from roadlift.serving.calls import Model
 from roadlift.serving.messages import (
@@ -95,7 +95,7 @@
         settings = self._kernel.settings
         if zone not in self._terms or not message.is_candidate:
             return
-        is_weak = settings.link_mbps < OWNER_LINK <= message.link_mbps
+        is_weak = settings.link_mbps < MIN_OWNER_LINK_MBPS <= message.link_mbps
         is_lost = self._terms[zone].reaches_none
         if zone == settings.zone and not is_weak and not is_lost:
             return
@@ -104,7 +104,7 @@
         is_due = now - last >= HAND_BACK_PERIOD
         if is_due and self._leases.get(zone).may_order(now):
             self._handed_back[zone] = now
-            self._leases.hand_back(zone)
+            self._leases.release_zone(zone)
 
     def take_ask(self, message: Ask) -> None:
         """Load an adapter, or deny it where this process does not own it."""
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -124,7 +124,7 @@
         self._probe_others(candidates, now)
         if self._sources.is_alive(now):
             self._follower.record_source_alive(now + SOURCE_LIMIT, self._members)
-            self._leases.note_members(self._members)
+            self._leases.record_subscriber_count(self._members)
 
     def _list_candidates(self) -> dict[str, Candidate]:
         """Return the known owners by zone."""
--- a/tests/steps/return_steps.py
+++ b/tests/steps/return_steps.py
@@ -296,7 +296,7 @@
         for name in {owner, _find_owner(context, "z2")}:
             entries.end(name)
     elif trouble == "the owner of z1 releases its lease":
-        entries.entries[owner].kernel.get(Leases).hand_back("z1")
+        entries.entries[owner].kernel.get(Leases).release_zone("z1")
     elif trouble == "the owner of z1 is cut off from the store":
         entries.installation.cut_from_store.add(entries.entries[owner].dialer)
     elif trouble == "the store is restored twice":
