--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -257,8 +257,12 @@
 
     def _schedule_digest(self) -> None:
         if self._digest_timer is None and self._subscribers:
-            period = min(MAX_DIGEST_INTERVAL, DIGEST_INTERVAL * len(self._subscribers))
-            self._digest_timer = self._kernel.loop.call_later(period, self._send_digest)
+            interval = min(
+                MAX_DIGEST_INTERVAL, DIGEST_INTERVAL * len(self._subscribers)
+            )
+            self._digest_timer = self._kernel.loop.call_later(
+                interval, self._send_digest
+            )
 
     def _send_digest(self) -> None:
         """Send all subscribers the changes since the last digest."""
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -26,7 +26,7 @@
 # lease is acquired, an older row is read again, as another candidate may have
 # acquired the lease in the meantime.
 MAX_READ_AGE = 0.1
-MAX_JITTER = 0.3  # Maximum seconds of jitter between the candidates of one zone.
+MAX_JITTER = 0.3  # Seconds of jitter between the candidates of one zone.
 # Link rate in Mbit/s below which an instance should not own a zone, and the
 # seconds that such an instance waits longer for a lease than others. An owner
 # sent up to 6 Mbit/s to 79 instances in a burst, and on a link of 5 Mbit/s it
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -156,9 +156,9 @@
     def schedule_heartbeat(self) -> None:
         """Schedule a heartbeat that reports calls, unless one is scheduled."""
         if self._is_open and self._timer is None:
-            period = min(MAX_REPORT_INTERVAL, REPORT_INTERVAL * self._members)
+            interval = min(MAX_REPORT_INTERVAL, REPORT_INTERVAL * self._members)
             self._timer = self._kernel.loop.call_later(
-                period, lambda: self.send_heartbeat(False)
+                interval, lambda: self.send_heartbeat(False)
             )
 
     def send_heartbeat(self, wants_reply: bool) -> None:
