--- a/roadlift/instance/owner.py
+++ b/roadlift/instance/owner.py
@@ -3,7 +3,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.daemon.transport import Transport
 from roadlift.instance.follower import Follower
-from roadlift.instance.leases import OWNER_LINK, Leases
+from roadlift.instance.leases import MIN_OWNER_LINK_MBPS, Leases
 from roadlift.instance.term import Term, deny
 from roadlift.serving.calls import Model
 from roadlift.serving.messages import (
@@ -96,7 +96,7 @@
         settings = self._kernel.settings
         if zone not in self._terms or not message.is_candidate:
             return
-        is_weak = settings.link_mbps < OWNER_LINK <= message.link_mbps
+        is_weak = settings.link_mbps < MIN_OWNER_LINK_MBPS <= message.link_mbps
         is_lost = self._terms[zone].reaches_no_engine
         if zone == settings.zone and not is_weak and not is_lost:
             return
@@ -105,7 +105,7 @@
         is_due = now - last >= RELEASE_INTERVAL
         if is_due and self._leases.get(zone).may_order(now):
             self._released_at[zone] = now
-            self._leases.hand_back(zone)
+            self._leases.release_zone(zone)
 
     def handle_load_request(self, message: Ask) -> None:
         """Load an adapter, or deny it if this process is not the owner."""
