--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -1,4 +1,4 @@
-"""Let one call wait for its adapter, and give up what can't be in time."""
+"""Let one call wait for its adapter, and refuse it if it can't be in time."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,16 +13,17 @@
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.routes import Route
 
-# Seconds after which a caller may come back for a call that did not run.
+# Seconds after which a caller may retry a call that did not run.
 COME_BACK = 0.2
-# How many times the predicted time a call waits for its adapter. What holds up
-# the load behind that is not known here, and its caller may fare better at
-# another instance. With it half as much is held until callers leave.
+# Multiple of the predicted load time for which a call waits. What delays a
+# load beyond that is not known here, and another instance may serve the caller
+# sooner. With this limit, half as many calls are held until their callers
+# disconnect.
 OVERDUE = 2.5
 
 
 class Waiting(NamedTuple):
-    """Whom a wait tells of its steps, its end, and its refusal."""
+    """Callbacks of a wait, for its steps, its end and its refusal."""
 
     on_step: Callable[..., None]
     on_loaded: Callable[[], None]
@@ -30,9 +31,10 @@
 
 
 class AdapterWait:
-    """The waits of one call for its adapter; ``seconds`` are of all of them.
+    """The waits of one call for its adapter; ``seconds`` is their sum.
 
-    ``began_at`` is when the call came, ``service`` where it goes.
+    ``began_at`` is when the call arrived, ``service`` the service that it is
+    sent to.
     """
 
     def __init__(
@@ -42,7 +44,7 @@
         route: Route,
         service: str,
         began_at: float,
-        waiting: Waiting,
+        callbacks: Waiting,
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
@@ -52,45 +54,46 @@
         self._route = route
         self._service = service
         self._call_began_at = began_at
-        self._waiting = waiting
+        self._callbacks = callbacks
         self._waiter: Waiter | None = None
         self._timer = None
         self._began_at = 0.0
-        self._until = 0.0
-        self._overdue = 0.0
+        self._deadline = 0.0
+        self._max_wait = 0.0
         self.seconds = 0.0
 
-    def begin(self, option: Option, stays: float) -> None:
-        """Ask for the adapter, or refuse where the caller leaves before.
+    def begin(self, option: Option, caller_wait: float) -> None:
+        """Request the adapter, or refuse if the caller disconnects before.
 
-        The caller stays for ``stays`` seconds.
+        The caller stays connected for ``caller_wait`` seconds.
         """
-        if option.expected > stays:
-            self._refuse_hopeless(option.expected - stays)
+        if option.expected > caller_wait:
+            self._refuse_too_late(option.expected - caller_wait)
             return
         now = self._began_at = self._clock.now()
-        reading = self._placing.estimate_reading(option, self._call)
-        rest = self._placing.estimate_load(option) + reading
+        reading_time = self._placing.estimate_reading(option, self._call)
+        time_to_first_event = self._placing.estimate_load(option) + reading_time
         self._waiter = Waiter(
             self._service,
             self._call.model,
             self._route.priority,
-            self._call_began_at + self._route.objective - rest,
-            now + stays - rest,
-            rest + self._placing.generations.estimate(self._route.name),
+            self._call_began_at + self._route.objective - time_to_first_event,
+            now + caller_wait - time_to_first_event,
+            time_to_first_event + self._placing.generations.estimate(self._route.name),
             self._call.tokens_in,
             self._on_loaded,
-            self._on_asked,
-            now + stays,
-            self._refuse_hopeless,
+            self._on_requested,
+            now + caller_wait,
+            self._refuse_too_late,
         )
-        # What begins in time is waited for until it is there: were its time
-        # counted again, a load of half the caller's patience would always come
-        # just behind the refusal, and serve nobody.
-        self._until = now + stays - reading
-        self._overdue = OVERDUE * option.expected
-        self._plan_refusal()
-        self._waiting.on_step(
+        # A load that starts in time is awaited until it completes. If the load
+        # time were subtracted again, a load that takes half of the caller's
+        # patience would always complete just after the refusal and serve
+        # nobody.
+        self._deadline = now + caller_wait - reading_time
+        self._max_wait = OVERDUE * option.expected
+        self._schedule_refusal()
+        self._callbacks.on_step(
             "wait",
             expected=round(option.expected, 3),
             source=option.engine.source.value,
@@ -100,44 +103,44 @@
         self._placing.await_load(self._waiter, option)
 
     def close(self) -> None:
-        """Wait no more."""
+        """Cancel the wait."""
         if self._waiter is not None:
             self._waiter.close()
             self._waiter = None
             self._timer.close()
 
-    def _refuse_hopeless(self, late: float) -> None:
-        """Refuse at once what would be served behind its caller's leaving."""
+    def _refuse_too_late(self, lateness: float) -> None:
+        """Refuse a call that would be served after its caller disconnects."""
         text = f"{self._call.model} can't be loaded in time"
-        self._waiting.on_refused(NoEndpoint(text, max(COME_BACK, late)))
+        self._callbacks.on_refused(NoEndpoint(text, max(COME_BACK, lateness)))
 
-    def _plan_refusal(self) -> None:
-        """Refuse when the engine asked is overdue, or it is too late."""
+    def _schedule_refusal(self) -> None:
+        """Schedule the refusal for when the load is overdue or too late."""
         if self._timer is not None:
             self._timer.close()
-        longest = min(self._until - self._clock.now(), self._overdue)
-        self._timer = self._loop.call_later(max(0.0, longest), self._on_overdue)
+        remaining = min(self._deadline - self._clock.now(), self._max_wait)
+        self._timer = self._loop.call_later(max(0.0, remaining), self._on_overdue)
 
-    def _on_asked(self, endpoint: Endpoint) -> None:
-        self._waiting.on_step("ask", endpoint=endpoint.id, zone=endpoint.zone)
-        self._plan_refusal()
+    def _on_requested(self, endpoint: Endpoint) -> None:
+        self._callbacks.on_step("ask", endpoint=endpoint.id, zone=endpoint.zone)
+        self._schedule_refusal()
 
     def _on_overdue(self) -> None:
-        """Refuse a call for which no load came in time."""
+        """Refuse a call whose adapter was not loaded in time."""
         if self._waiter is None:
             return
         self._count("overdue")
         self._placing.note_overdue(self._waiter)
         text = f"{self._call.model} was not loaded in time"
-        self._waiting.on_refused(NoEndpoint(text, COME_BACK))
+        self._callbacks.on_refused(NoEndpoint(text, COME_BACK))
 
     def _on_loaded(self) -> None:
         self._waiter = None
         self._timer.close()
         self.seconds += self._clock.now() - self._began_at
-        self._waiting.on_step("loaded")
+        self._callbacks.on_step("loaded")
         self._count("loaded")
-        self._waiting.on_loaded()
+        self._callbacks.on_loaded()
 
     def _count(self, outcome: str) -> None:
         self._measures.count("roadlift_predicted_waits", self._service, outcome)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -1,4 +1,4 @@
-"""Find an engine that holds an adapter, or have it loaded."""
+"""Choose the endpoint of a call, and request loads of missing adapters."""
 
 import random
 from collections.abc import Iterable
@@ -29,24 +29,26 @@
     choose_least_loaded,
 )
 
-ASK_PERIOD = 0.3  # Seconds after which an asking is sent again.
-# Seconds for which an engine is not asked again for an adapter that it was
-# denied for, and between looks at what is to be asked for again.
+ASK_PERIOD = 0.3  # Seconds after which a load request is repeated.
+# Seconds for which an engine that denied a load is not requested again for the
+# same adapter; also the interval between checks for load requests to repeat.
 DENIAL_PAUSE = 0.1
-# Engines that are considered for one adapter, beside those that hold it. Many
-# instances know the same, some tenths of a second late, and would all choose
-# the same one of all engines; the homes of adapters differ.
+# Engines that are considered for one adapter, in addition to those that hold
+# it. Many instances have the same view, some tenths of a second old, and would
+# otherwise all choose the same engine; the preferred endpoints of different
+# adapters differ.
 MOST_CANDIDATES = 10
-SILENCE_TICK = 0.1  # Seconds between looks for engines that went silent.
-# Seconds without a sign of an owner behind which an engine of another zone is
-# asked: signs come each 0.25 s, and through an aggregator as late again.
+SILENCE_TICK = 0.1  # Seconds between checks for unresponsive engines.
+# Seconds without a liveness signal from an owner after which an engine of
+# another zone is requested. Owners send one each 0.25 s, and an aggregator
+# adds up to as much again.
 SIGN_LIMIT = 0.55
 
 log = PartLog("placing")
 
 
 class Rest(NamedTuple):
-    """An endpoint that wants no calls from this instance for some seconds."""
+    """An endpoint that requested no calls from this instance for a time."""
 
     endpoint: Endpoint
     seconds: float
@@ -54,7 +56,7 @@
 
 @parts.register("placing")
 class Placing:
-    """What this process knows of loaded adapters, and asks for."""
+    """Chooses endpoints for calls and keeps this process's pending loads."""
 
     name = "placing"
     needs = (
@@ -72,116 +74,119 @@
         self._knowledge = kernel.get(Knowledge)
         self._standings = kernel.get(Standings)
         self._subscription = kernel.get(Subscription)
-        self._services = kernel.get(ServiceLoads)
+        self._service_loads = kernel.get(ServiceLoads)
         self._limits = kernel.get(EndpointLimits)
         self._rng = random.Random(kernel.stamp)
         self._residency = self._knowledge.residency
-        self._homes = Homes()
-        self._loading = LoadWaits()
+        self._preferred_endpoints = Homes()
+        self._load_waits = LoadWaits()
         self._workload = self._knowledge.workload
-        self._wishes: dict[tuple[str, Model], Wish] = {}
+        self._pending_loads: dict[tuple[str, Model], Wish] = {}
         self._timers: list = []
         self.health = self._knowledge.health
         self.paces = Paces()
         self.reading_times = ReadingTimes()
         self.generations = Generations()
         self.silence = SilenceWatch()
-        self._knowledge.on_held.append(self._wake)
-        self._knowledge.on_denial.append(self._take_denial)
-        self._follower.on_directory.append(self._forget_gone)
+        self._knowledge.on_held.append(self._notify_waiters)
+        self._knowledge.on_denial.append(self._handle_denial)
+        self._follower.on_directory.append(self._remove_gone)
 
     def start(self) -> None:
-        """Begin to ask again."""
+        """Start the periodic checks."""
         loop = self._kernel.loop
         self._timers = [
-            loop.call_every(DENIAL_PAUSE, self._ask_again),
-            loop.call_every(SILENCE_TICK, self._look_for_silence),
+            loop.call_every(DENIAL_PAUSE, self._repeat_requests),
+            loop.call_every(SILENCE_TICK, self._check_inactivity),
         ]
 
     def close(self) -> None:
-        """Ask no more."""
+        """Stop the periodic checks."""
         for timer in self._timers:
             timer.close()
 
-    # Choosing.
+    # Endpoint selection
 
     def choose(self, service: str, excluded: set[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a call, or None."""
         now = self._kernel.clock.now()
-        usable = self._list_unspared(service, excluded, now)
+        usable = self._list_unreserved(service, excluded, now)
         usable = usable or self._list_last_resort(service, excluded)
-        zone = self._services.spread.choose_zone(service, usable, now)
+        zone = self._service_loads.spread.choose_zone(service, usable, now)
         if zone is not None:
             usable = [one for one in usable if one.zone == zone] or usable
-        home = self._kernel.settings.zone
-        return choose_least_loaded(usable, home, self._weigh(usable, now), self._rng)
+        local_zone = self._kernel.settings.zone
+        return choose_least_loaded(
+            usable, local_zone, self._weigh_running(usable, now), self._rng
+        )
 
-    def _list_unspared(
+    def _list_unreserved(
         self, service: str, excluded: set[str], now: float
     ) -> list[Endpoint]:
-        """Return the endpoints that take a plain call.
+        """Return the endpoints that accept a plain call.
 
-        Those in need are left out while others have slots to spare.
+        Rate-limited endpoints are left out while the others have spare slots.
         """
-        usable = self._list_open(service, excluded, now)
-        others = [one for one in usable if not self._limits.is_spared(one.id)]
-        fill = self._services.spread.measure_fill(service, others, now)
-        return others if others and fill < SPARE_FILL else usable
+        usable = self._list_below_limit(service, excluded, now)
+        unreserved = [one for one in usable if not self._limits.is_spared(one.id)]
+        fill = self._service_loads.spread.measure_fill(service, unreserved, now)
+        return unreserved if unreserved and fill < SPARE_FILL else usable
 
-    def _list_open(
+    def _list_below_limit(
         self, service: str, excluded: set[str], now: float
     ) -> list[Endpoint]:
-        """Return the usable endpoints whose limit is not used up."""
+        """Return the usable endpoints whose rate limit is not exhausted."""
         usable = self._list_usable(service, excluded, now)
         return [one for one in usable if not self._limits.is_full(one.id)]
 
     def measure_limit_wait(self, service: str, excluded: set[str]) -> float | None:
-        """Return the seconds until a service's limits have a send free.
+        """Return the seconds until a rate limit of a service permits a send.
 
-        None where limits are not why there is no endpoint for a call.
+        None if rate limits are not the reason why a call has no endpoint.
         """
         waits = [
-            self._limits.measure_wait(one.id)
-            for one in self._follower.directory.list_ready(service)
-            if self._limits.find(one.id) is not None
-            and (one.id in excluded or self._limits.is_full(one.id))
+            self._limits.measure_wait(endpoint.id)
+            for endpoint in self._follower.directory.list_ready(service)
+            if self._limits.find(endpoint.id) is not None
+            and (endpoint.id in excluded or self._limits.is_full(endpoint.id))
         ]
         return min(waits, default=None)
 
     def holds(self, endpoint: Endpoint, model: Model | None) -> bool:
-        """Tell whether an endpoint still takes calls for an adapter."""
-        known = self._follower.directory.get(endpoint.id)
+        """Return whether an endpoint still accepts calls for an adapter."""
+        listed = self._follower.directory.get(endpoint.id)
         is_last_resort = self._standings.is_last_resort(endpoint.id)
-        if known is None or (known.is_draining and not is_last_resort):
+        if listed is None or (listed.is_draining and not is_last_resort):
             return False
         if model is None or not model.adapter:
             return True
-        least = self._follower.find_version(model)
-        return self._residency.holds(endpoint.id, model, least)
+        min_version = self._follower.find_version(model)
+        return self._residency.holds(endpoint.id, model, min_version)
 
     def refuse(self, service: str, objective: float) -> float | None:
-        """Return when a call may come back that a full service can't run.
+        """Return None to admit a call, else the seconds until a retry.
 
-        None lets it in; ``objective`` is in seconds.
+        A call is refused if its service is too full to run it within
+        ``objective`` seconds.
         """
         now = self._kernel.clock.now()
-        self._services.find_own(service).note_asked(now)
-        usable = self._list_open(service, set(), now)
+        self._service_loads.find_own(service).note_asked(now)
+        usable = self._list_below_limit(service, set(), now)
         if not usable:
             return None
-        return self._services.spread.refuse(service, usable, objective, now)
+        return self._service_loads.spread.refuse(service, usable, objective, now)
 
     def has_spare_room(self, service: str) -> bool:
-        """Tell whether a plain service has slots to spare for second tries."""
+        """Return whether a plain service has spare slots for retries."""
         now = self._kernel.clock.now()
-        usable = self._list_open(service, set(), now)
-        fill = self._services.spread.measure_fill(service, usable, now)
+        usable = self._list_below_limit(service, set(), now)
+        fill = self._service_loads.spread.measure_fill(service, usable, now)
         return fill < SPARE_FILL
 
     def choose_engine(
         self, service: str, call: Call, excluded: set[str]
     ) -> Option | None:
-        """Return the best engine for a call, or None where there is none.
+        """Return the best engine for a call, or None.
 
         Its adapter may have to be loaded there first.
         """
@@ -192,37 +197,41 @@
     ) -> Option | None:
         now = self._kernel.clock.now()
         usable = self._list_usable(service, excluded, now)
-        need = Need(tokens, self._kernel.settings.zone)
-        engines = self._view(service, usable, model, now)
-        option = choose_engine(need, engines, self.reading_times, self._loading, now)
+        requirements = Need(tokens, self._kernel.settings.zone)
+        engines = self._describe_engines(service, usable, model, now)
+        option = choose_engine(
+            requirements, engines, self.reading_times, self._load_waits, now
+        )
         if option is not None:
             return option
-        leaving = self._list_last_resort(service, excluded)
+        draining = self._list_last_resort(service, excluded)
         engines = [
-            one._replace(can_load=False)
-            for one in self._view(service, leaving, model, now)
+            engine._replace(can_load=False)
+            for engine in self._describe_engines(service, draining, model, now)
         ]
-        return choose_engine(need, engines, self.reading_times, self._loading, now)
+        return choose_engine(
+            requirements, engines, self.reading_times, self._load_waits, now
+        )
 
     def estimate_load(self, option: Option) -> float:
-        """Return the seconds in which a load is done that begins now."""
+        """Return the seconds within which a load that starts now completes."""
         now = self._kernel.clock.now()
-        return self._loading.estimate_safely(option.engine.source, now)
+        return self._load_waits.estimate_safely(option.engine.source, now)
 
     def estimate_reading(self, option: Option, call: Call) -> float:
         """Return the seconds that an engine takes to read a call's prompt."""
         now = self._kernel.clock.now()
-        pace = self.reading_times.estimate(option.engine.endpoint.id, now)
-        return pace * call.tokens_in
+        seconds_per_token = self.reading_times.estimate(option.engine.endpoint.id, now)
+        return seconds_per_token * call.tokens_in
 
-    def _look_for_silence(self) -> None:
+    def _check_inactivity(self) -> None:
         now = self._kernel.clock.now()
-        silent = self.silence.find_silent(now)
-        for endpoint in silent:
+        unresponsive = self.silence.find_silent(now)
+        for endpoint in unresponsive:
             self.health.note_absence(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
-        # All are known to be silent before a call chooses another engine.
-        for endpoint in silent:
+        # Mark all of them as absent before any call chooses another engine.
+        for endpoint in unresponsive:
             self.silence.leave(endpoint)
 
     def _list_usable(
@@ -233,49 +242,53 @@
         return [one for one in usable if one.id not in excluded]
 
     def _list_last_resort(self, service: str, excluded: set[str]) -> list[Endpoint]:
-        """Return the leaving endpoints that take what no other can."""
+        """Return the draining endpoints that accept calls no other can run."""
         return [
-            one
-            for one in self._follower.directory.list_service(service)
-            if one.id not in excluded
-            and self._standings.is_last_resort(one.id)
-            and not self._standings.measure_rest(one.id)
+            endpoint
+            for endpoint in self._follower.directory.list_service(service)
+            if endpoint.id not in excluded
+            and self._standings.is_last_resort(endpoint.id)
+            and not self._standings.measure_rest(endpoint.id)
         ]
 
     def find_rest(self, service: str, model: Model | None) -> Rest | None:
-        """Return the first rest to end of those that are in a call's way.
+        """Return the backoff that ends first of those in the way, or None.
 
-        Those are of endpoints that hold what it needs, or of all where all of
-        the service rest; None where there are none.
+        If all endpoints of the service are backing off, each of them counts;
+        otherwise only those that hold the model.
         """
         ready = self._follower.directory.list_ready(service)
-        rests = [Rest(one, self._standings.measure_rest(one.id)) for one in ready]
-        resting = [rest for rest in rests if rest.seconds > 0.0]
-        if len(resting) < len(ready):
-            least = self._follower.find_version(model) if model is not None else 0
-            resting = [
-                rest for rest in resting if self._is_held(rest.endpoint, model, least)
+        backoffs = [Rest(one, self._standings.measure_rest(one.id)) for one in ready]
+        active = [backoff for backoff in backoffs if backoff.seconds > 0.0]
+        if len(active) < len(ready):
+            min_version = self._follower.find_version(model) if model is not None else 0
+            active = [
+                backoff
+                for backoff in active
+                if self._holds_model(backoff.endpoint, model, min_version)
             ]
-        return min(resting, key=lambda rest: rest.seconds, default=None)
+        return min(active, key=lambda backoff: backoff.seconds, default=None)
 
-    def _is_held(self, endpoint: Endpoint, model: Model | None, least: int) -> bool:
-        """Tell whether an engine holds what a call needs."""
+    def _holds_model(
+        self, endpoint: Endpoint, model: Model | None, min_version: int
+    ) -> bool:
+        """Return whether an engine holds the model that a call requires."""
         if model is None or not endpoint.holds(model.base):
             return False
-        return self._find_source(endpoint.id, model, least) is Source.HELD
+        return self._find_source(endpoint.id, model, min_version) is Source.HELD
 
-    def _view(
+    def _describe_engines(
         self, service: str, usable: list[Endpoint], model: Model, now: float
     ) -> list[Engine]:
-        """Return what is known of the engines that a call may go to."""
-        least = self._follower.find_version(model) if model.adapter else 0
+        """Return the state of the engines that a call may be sent to."""
+        min_version = self._follower.find_version(model) if model.adapter else 0
         ranked = self._list_candidates(service, usable, model)
         return [
             Engine(
                 endpoint,
                 self.count_ahead(endpoint.id),
                 self._workload.count_places(endpoint.id),
-                self._find_source(endpoint.id, model, least),
+                self._find_source(endpoint.id, model, min_version),
                 rank,
                 self._knowledge.has_owner(endpoint.zone),
                 self._workload.measure_queue(endpoint.id),
@@ -289,169 +302,184 @@
     def _list_candidates(
         self, service: str, usable: list[Endpoint], model: Model
     ) -> list[Endpoint]:
-        """Return the engines for a model, the homes of an adapter first."""
+        """Return the engines for a model, preferred endpoints first."""
         if not model.adapter:
             return usable
-        ranked = self._homes.rank(service, usable, model, MOST_CANDIDATES)
+        ranked = self._preferred_endpoints.rank(service, usable, model, MOST_CANDIDATES)
         holders = self._residency.find(model)
         return ranked + [
-            one for one in usable if one.id in holders and one not in ranked
+            endpoint
+            for endpoint in usable
+            if endpoint.id in holders and endpoint not in ranked
         ]
 
-    def _find_source(self, endpoint: str, model: Model, least: int) -> Source:
-        if not model.adapter or self._residency.holds(endpoint, model, least):
+    def _find_source(self, endpoint: str, model: Model, min_version: int) -> Source:
+        if not model.adapter or self._residency.holds(endpoint, model, min_version):
             return Source.HELD
-        if self._residency.is_at_hand(endpoint, model, least):
+        if self._residency.is_at_hand(endpoint, model, min_version):
             return Source.AT_HAND
         return Source.STORE
 
     def count_ahead(self, endpoint: str) -> int:
-        """Return about how many prompt tokens are to be read at an engine."""
+        """Return the estimated number of unread prompt tokens at an engine."""
         return self._workload.count_ahead(endpoint)
 
     def count_running(self, endpoint: str) -> int:
-        """Return about how many calls run at an endpoint, of all instances.
+        """Return the estimated number of running calls of all instances.
 
-        That is what its owner told last, and what this process began since;
-        where no owner tells it, this process's own calls.
+        This is the last report of the endpoint's owner, corrected by the calls
+        that this process has started or ended since. Without a current report
+        it is the number of this process's own calls.
         """
-        own = self.health.count_running(endpoint)
-        return self._workload.count_running(endpoint, own)
+        local_calls = self.health.count_running(endpoint)
+        return self._workload.count_running(endpoint, local_calls)
 
-    def _weigh(self, endpoints: Iterable[Endpoint], now: float) -> Load:
-        """Return what tells the calls at endpoints, weighed by their pace."""
+    def _weigh_running(self, endpoints: Iterable[Endpoint], now: float) -> Load:
+        """Return a function from endpoint to calls, weighted by slowness."""
         factors = self.paces.compare([one.id for one in endpoints], now)
         return lambda name: self.count_running(name) * factors.get(name, 1.0)
 
     def begin(self, endpoint: Endpoint, call: Call) -> None:
-        """Count a call as under way at an endpoint."""
+        """Count a call as running at an endpoint."""
         self.health.begin(endpoint.id, self._kernel.clock.now())
         if call.model is None:
             now = self._kernel.clock.now()
-            self._services.find_own(endpoint.service).begin(now)
+            self._service_loads.find_own(endpoint.service).begin(now)
             return
-        self._note_reading(endpoint, call.tokens_in)
+        self._update_unread(endpoint, call.tokens_in)
         if call.model.adapter:
             self._subscription.note_use(endpoint, call.model, 1)
 
     def note_read(self, endpoint: Endpoint, call: Call) -> None:
-        """Count a call's prompt as read, or as not to be read any more."""
+        """Stop counting a call's prompt as unread."""
         if call.model is not None:
-            self._note_reading(endpoint, -call.tokens_in)
+            self._update_unread(endpoint, -call.tokens_in)
 
     def end(self, endpoint: Endpoint, call: Call, has_run: bool) -> None:
-        """Count a call as over."""
+        """Stop counting a call as running."""
         self.health.end(endpoint.id)
         if call.model is None:
             now = self._kernel.clock.now()
-            self._services.find_own(endpoint.service).end(has_run, now)
+            self._service_loads.find_own(endpoint.service).end(has_run, now)
         if call.model is not None and call.model.adapter:
             self._subscription.note_use(endpoint, call.model, -1)
 
-    def _note_reading(self, endpoint: Endpoint, change: int) -> None:
+    def _update_unread(self, endpoint: Endpoint, change: int) -> None:
         self._workload.change_reading(endpoint.id, change)
         self._subscription.note_reading(endpoint)
 
     def is_known(self, service: str) -> bool:
-        """Tell whether a service has an endpoint that takes calls."""
+        """Return whether a service has an endpoint that accepts calls."""
         ready = self._follower.directory.list_ready(service)
         return bool(ready or self._list_last_resort(service, set()))
 
     def await_load(self, waiter: Waiter, option: Option) -> None:
-        """Ask for an adapter; ``on_ready`` is called when to choose again."""
+        """Request an adapter; ``on_ready`` is called when to choose again."""
         key = (waiter.service, waiter.model)
-        wish = self._wishes.get(key)
+        pending = self._pending_loads.get(key)
         now = self._kernel.clock.now()
-        if wish is None:
-            wish = self._wishes[key] = Wish(now)
-        wish.waiters.append(waiter)
-        if now - wish.asked_at >= ASK_PERIOD:
-            self._ask(key, wish, option.engine)
+        if pending is None:
+            pending = self._pending_loads[key] = Wish(now)
+        pending.waiters.append(waiter)
+        if now - pending.asked_at >= ASK_PERIOD:
+            self._request_load(key, pending, option.engine)
         else:
-            self._commit(waiter, wish.engine.endpoint)
+            self._commit(waiter, pending.engine.endpoint)
 
     def _commit(self, waiter: Waiter, endpoint: Endpoint) -> None:
-        """Count the prompt of a call that waits as coming to an engine.
+        """Count the prompt of a waiting call as unread at an engine.
 
-        Else all that choose while a load is on its way choose the same engine.
+        Otherwise all calls that choose while a load is in progress would
+        choose the same engine.
         """
         if not waiter.is_open:
             return
-        waiter.commit(lambda: self._note_reading(endpoint, -waiter.tokens))
-        self._note_reading(endpoint, waiter.tokens)
+        waiter.commit(lambda: self._update_unread(endpoint, -waiter.tokens))
+        self._update_unread(endpoint, waiter.tokens)
 
     def note_missing(self, endpoint: str, model: Model) -> None:
-        """Learn that an engine refused a call for want of an adapter."""
+        """Record that an engine rejected a call because it lacks the adapter.
+
+        The owner of the engine is notified as well.
+        """
         self._knowledge.drop(endpoint, model)
-        known = self._follower.directory.get(endpoint)
-        if known is not None:
-            self._send_ask(known, model, Urgency(0), True)
+        listed = self._follower.directory.get(endpoint)
+        if listed is not None:
+            self._send_request(listed, model, Urgency(0), True)
 
-    # Asking.
+    # Load requests
 
-    def _ask(self, key: tuple[str, Model], wish: Wish, engine: Engine) -> None:
+    def _request_load(
+        self, key: tuple[str, Model], pending: Wish, engine: Engine
+    ) -> None:
         _, model = key
         endpoint = engine.endpoint
-        wish.asked_at = wish.first_asked_at = self._kernel.clock.now()
-        wish.endpoint = endpoint.id
-        wish.denied.pop(endpoint.id, None)
-        wish.engine = engine
-        self._send_ask(endpoint, model, wish.measure_urgency(wish.asked_at))
+        pending.asked_at = pending.first_asked_at = self._kernel.clock.now()
+        pending.endpoint = endpoint.id
+        pending.denied.pop(endpoint.id, None)
+        pending.engine = engine
+        self._send_request(endpoint, model, pending.measure_urgency(pending.asked_at))
         self._workload.take_place(endpoint.id)
-        for waiter in wish.waiters:
+        for waiter in pending.waiters:
             self._commit(waiter, endpoint)
             waiter.on_ask(endpoint)
 
-    def _repeat_ask(self, key: tuple[str, Model], wish: Wish, now: float) -> None:
-        """Tell the engine's owner that calls still wait, or ask another.
+    def _repeat_request(
+        self, key: tuple[str, Model], pending: Wish, now: float
+    ) -> None:
+        """Repeat the request at the engine's owner, or request another engine.
 
-        One engine is asked at a time: a load that is not used takes the place
-        of another.
+        Only one engine is requested at a time, because a load that is not used
+        occupies the adapter slot of another adapter.
         """
-        endpoint = wish.engine.endpoint
-        known = self._follower.directory.get(endpoint.id)
-        is_there = known is not None and not known.is_draining
-        silence = self._knowledge.measure_silence(endpoint.zone)
-        is_owned = silence < SIGN_LIMIT and self._knowledge.has_owner(endpoint.zone)
-        if is_there and is_owned:
-            wish.asked_at = now
-            self._send_ask(endpoint, key[1], wish.measure_urgency(now))
+        endpoint = pending.engine.endpoint
+        listed = self._follower.directory.get(endpoint.id)
+        is_listed = listed is not None and not listed.is_draining
+        owner_inactivity = self._knowledge.measure_silence(endpoint.zone)
+        is_owner_alive = owner_inactivity < SIGN_LIMIT and self._knowledge.has_owner(
+            endpoint.zone
+        )
+        if is_listed and is_owner_alive:
+            pending.asked_at = now
+            self._send_request(endpoint, key[1], pending.measure_urgency(now))
         else:
-            wish.denied[endpoint.id] = now
-            self._ask_elsewhere(key, wish)
+            pending.denied[endpoint.id] = now
+            self._request_elsewhere(key, pending)
 
-    def _ask_elsewhere(self, key: tuple[str, Model], wish: Wish) -> None:
-        """Ask the engine that is now the best for an adapter."""
+    def _request_elsewhere(self, key: tuple[str, Model], pending: Wish) -> None:
+        """Request an adapter at the engine that is the best choice now."""
         service, model = key
         now = self._kernel.clock.now()
-        recent = {name for name, at in wish.denied.items() if now - at < DENIAL_PAUSE}
-        for waiter in wish.waiters:
+        recently_denied = {
+            name for name, at in pending.denied.items() if now - at < DENIAL_PAUSE
+        }
+        for waiter in pending.waiters:
             waiter.release()
-        tokens = max((one.tokens for one in wish.waiters), default=0)
-        option = self._find_best(service, model, tokens, recent)
+        tokens = max((one.tokens for one in pending.waiters), default=0)
+        option = self._find_best(service, model, tokens, recently_denied)
         if option is None:
             return
-        for waiter in wish.waiters:
-            late = now + option.expected - waiter.leaves_at
-            if late > 0 and waiter.is_open:
-                waiter.on_hopeless(late)
-        wish.waiters = [one for one in wish.waiters if one.is_open]
-        if not wish.waiters:
-            self._wishes.pop(key, None)
+        for waiter in pending.waiters:
+            lateness = now + option.expected - waiter.leaves_at
+            if lateness > 0 and waiter.is_open:
+                waiter.on_hopeless(lateness)
+        pending.waiters = [one for one in pending.waiters if one.is_open]
+        if not pending.waiters:
+            self._pending_loads.pop(key, None)
             return
         if option.engine.source is Source.HELD:
-            self._wake(model, "")
+            self._notify_waiters(model, "")
         else:
-            self._ask(key, wish, option.engine)
+            self._request_load(key, pending, option.engine)
 
-    def _send_ask(
+    def _send_request(
         self,
         endpoint: Endpoint,
         model: Model,
         urgency: Urgency,
         is_missing: bool = False,
     ) -> None:
-        ask = Ask(
+        request = Ask(
             self._kernel.settings.peer,
             endpoint.zone,
             endpoint.id,
@@ -462,66 +490,66 @@
             is_missing,
             False,
         )
-        self._subscription.send_ask(ask)
+        self._subscription.send_ask(request)
 
-    def _ask_again(self) -> None:
+    def _repeat_requests(self) -> None:
         now = self._kernel.clock.now()
-        for key, wish in list(self._wishes.items()):
-            wish.waiters = [one for one in wish.waiters if one.is_open]
-            if not wish.waiters:
-                del self._wishes[key]
-            elif wish.endpoint in wish.denied:
-                self._ask_elsewhere(key, wish)
-            elif now - wish.asked_at >= ASK_PERIOD:
-                self._repeat_ask(key, wish, now)
-
-    def _wake(self, model: Model, endpoint: str) -> None:
+        for key, pending in list(self._pending_loads.items()):
+            pending.waiters = [one for one in pending.waiters if one.is_open]
+            if not pending.waiters:
+                del self._pending_loads[key]
+            elif pending.endpoint in pending.denied:
+                self._request_elsewhere(key, pending)
+            elif now - pending.asked_at >= ASK_PERIOD:
+                self._repeat_request(key, pending, now)
+
+    def _notify_waiters(self, model: Model, endpoint: str) -> None:
         """Let the calls that wait for an adapter choose again."""
-        for key in [key for key in self._wishes if key[1] == model]:
-            wish = self._wishes.pop(key)
-            if wish.endpoint == endpoint:
-                self._learn_wait(wish)
-            for waiter in wish.waiters:
+        for key in [key for key in self._pending_loads if key[1] == model]:
+            pending = self._pending_loads.pop(key)
+            if pending.endpoint == endpoint:
+                self._record_load_time(pending)
+            for waiter in pending.waiters:
                 if waiter.is_open:
                     waiter.close()
                     waiter.on_ready()
 
     def note_overdue(self, waiter: Waiter) -> None:
-        """Learn from a call that was refused while it waited for a load.
+        """Update the load time estimate by a call that was refused.
 
-        The load takes as long at least. Were only those learned from that
-        come in time, a prediction that is too short would stay so, and each
-        call behind it be refused.
+        Its load takes at least as long as the call waited. If only loads that
+        complete in time were recorded, an estimate that is too short would
+        never be corrected, and every later call would be refused.
         """
-        wish = self._wishes.get((waiter.service, waiter.model))
-        if wish is not None:
-            self._learn_wait(wish)
+        pending = self._pending_loads.get((waiter.service, waiter.model))
+        if pending is not None:
+            self._record_load_time(pending)
 
-    def _learn_wait(self, wish: Wish) -> None:
-        """Learn how long a load takes that came, or was given up."""
+    def _record_load_time(self, pending: Wish) -> None:
+        """Update the load time estimate by a completed or abandoned load."""
         now = self._kernel.clock.now()
-        if wish.engine is None:
+        if pending.engine is None:
             return
-        queue = wish.engine.queue
-        if wish.engine.places > 0:
-            waited = max(0.0, now - wish.first_asked_at - queue)
-            self._loading.note(wish.engine.source, waited, now)
+        queue = pending.engine.queue
+        if pending.engine.places > 0:
+            waited = max(0.0, now - pending.first_asked_at - queue)
+            self._load_waits.note(pending.engine.source, waited, now)
             return
-        load = self._loading.estimate(wish.engine.source, now)
-        waited = max(0.0, now - wish.began_at - load - queue)
-        self._loading.note_place(waited / (1 - wish.engine.places), now)
+        load = self._load_waits.estimate(pending.engine.source, now)
+        waited = max(0.0, now - pending.began_at - load - queue)
+        self._load_waits.note_place(waited / (1 - pending.engine.places), now)
 
-    # What the owners tell.
+    # Messages from owners
 
-    def _take_denial(self, denial: Denial) -> None:
+    def _handle_denial(self, denial: Denial) -> None:
         model = Model(denial.base, denial.adapter)
-        for (service, wanted), wish in list(self._wishes.items()):
-            if wanted == model and wish.endpoint == denial.endpoint:
+        for (service, pending_model), pending in list(self._pending_loads.items()):
+            if pending_model == model and pending.endpoint == denial.endpoint:
                 self._workload.deny_place(denial.endpoint)
-                wish.denied[denial.endpoint] = self._kernel.clock.now()
-                self._ask_elsewhere((service, wanted), wish)
+                pending.denied[denial.endpoint] = self._kernel.clock.now()
+                self._request_elsewhere((service, pending_model), pending)
 
-    def _forget_gone(self) -> None:
-        known = {endpoint.id for endpoint in self._follower.directory.list_all()}
-        self.reading_times.forget(known)
-        self.paces.forget(known)
+    def _remove_gone(self) -> None:
+        listed = {endpoint.id for endpoint in self._follower.directory.list_all()}
+        self.reading_times.forget(listed)
+        self.paces.forget(listed)
--- a/roadlift/instance/waiting.py
+++ b/roadlift/instance/waiting.py
@@ -1,4 +1,4 @@
-"""Keep the calls that wait for an adapter, and what was asked for them."""
+"""Keep the calls that wait for an adapter, and the load requests for them."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,14 @@
 
 
 class Waiter:
-    """A call that waits for an adapter; ``close`` takes it back.
+    """A call that waits for an adapter; ``close`` cancels the wait.
 
-    ``due`` is until when its load must begin for the call to be in time,
-    ``until`` for it to be served at all, ``hold`` for how many seconds it will
-    hold a place, and ``tokens`` its prompt. ``on_hopeless`` is called with how
-    many seconds behind ``leaves_at``, when its caller leaves, it would be
-    served at best.
+    ``due`` is the time by which the load must start for the call to meet its
+    objective, and ``until`` the time by which it must start for the call to be
+    served at all. ``hold`` is the number of seconds for which the call will
+    occupy an adapter slot, and ``tokens`` the length of its prompt. The caller
+    disconnects at ``leaves_at``; ``on_hopeless`` is called with the number of
+    seconds after that at which the call would be served at best.
     """
 
     def __init__(
@@ -44,30 +45,30 @@
         self.leaves_at = leaves_at
         self.on_hopeless = on_hopeless
         self.is_open = True
-        self._release: Callable[[], None] | None = None
+        self._on_release: Callable[[], None] | None = None
 
-    def commit(self, release: Callable[[], None]) -> None:
-        """Count as coming to an engine until ``release`` is called."""
+    def commit(self, on_release: Callable[[], None]) -> None:
+        """Count the call at an engine until ``on_release`` is called."""
         self.release()
-        self._release = release
+        self._on_release = on_release
 
     def release(self) -> None:
-        """Count as coming to no engine."""
-        release, self._release = self._release, None
-        if release is not None:
-            release()
+        """Stop counting the call at an engine."""
+        on_release, self._on_release = self._on_release, None
+        if on_release is not None:
+            on_release()
 
     def close(self) -> None:
-        """Wait no more."""
+        """Cancel the wait."""
         self.is_open = False
         self.release()
 
 
 class Wish:
-    """The waiters for one adapter, and the engine that was asked for it.
+    """The calls that wait for one adapter, and the engine to load it.
 
-    ``first_asked_at`` is when that engine was asked first, ``asked_at`` when
-    it was asked last.
+    ``first_asked_at`` is the time of the first request to that engine, and
+    ``asked_at`` the time of the last one.
     """
 
     def __init__(self, now: float) -> None:
@@ -80,11 +81,11 @@
         self.denied: dict[str, float] = {}
 
     def measure_urgency(self, now: float) -> Urgency:
-        """Return how urgent the load is for the calls that wait."""
-        waiting = [one for one in self.waiters if one.is_open]
-        priority = min((one.priority for one in waiting), default=0)
-        due = max((one.due for one in waiting), default=now)
-        until = max((one.until for one in waiting), default=now)
-        hold = max((one.hold for one in waiting), default=0.0)
-        hold /= max(1, len(waiting))
+        """Return the urgency of the load for the calls that wait."""
+        open_waiters = [waiter for waiter in self.waiters if waiter.is_open]
+        priority = min((waiter.priority for waiter in open_waiters), default=0)
+        due = max((waiter.due for waiter in open_waiters), default=now)
+        until = max((waiter.until for waiter in open_waiters), default=now)
+        hold = max((waiter.hold for waiter in open_waiters), default=0.0)
+        hold /= max(1, len(open_waiters))
         return Urgency(priority, due - now, hold, until - now)
