--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -1,8 +1,9 @@
-"""Ask for one call whether it may go to an endpoint, up to its first byte.
+"""Control whether one call may be sent to an endpoint, up to its first byte.
 
-What an endpoint says of itself in answers is kept outside the exchanges, and
-asked for here: the owner's agreement where it names a limit, and once more
-right before the call is written whether it leaves or wants rest by then.
+The state that endpoints report in their answers is kept outside the exchanges
+and queried here: an endpoint with a rate limit requires a permit from its
+owner, and right before the call is written it is checked once more whether the
+endpoint is draining or backing off by then.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,20 +20,23 @@
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 
-# Part of what is left of a call's objective for which it waits until it may be
-# sent: the rest is for its run.
+# Fraction of the time left of a call's objective for which it waits until it
+# may be sent; the rest is reserved for its run.
 PATIENT_PART = 0.5
-MOST_DENIED = 4  # Endpoints that a call asks for a send at most.
-LEAST_WAIT = 0.02  # Seconds until a call that waits for a rest's end looks again.
-# Seconds within which callers come back that were refused for a rest.
+MOST_DENIED = 4  # Endpoints at which a call requests a permit at most.
+# Minimum seconds until a call that waits for the end of a backoff checks
+# again.
+LEAST_WAIT = 0.02
+# Seconds over which the retries of callers that were refused because of a
+# backoff are distributed.
 RETURN_SPREAD = 0.5
 
 
 class Passage(NamedTuple):
-    """Whom a gate tells of its steps, and of what came of an ask.
+    """Callbacks of a gate.
 
-    ``on_open`` is called with the basis of the send; ``on_shut`` where the
-    call is to choose again.
+    ``on_step`` logs a step of the call; ``on_open`` is called with the basis
+    of the permitted send, and ``on_shut`` when the call has to choose again.
     """
 
     on_step: Callable[..., None]
@@ -41,10 +45,10 @@
 
 
 class Gate:
-    """The asks of one call; ``denied`` are endpoints without a send for it."""
+    """The permits of one call; ``denied`` holds endpoints that denied one."""
 
     def __init__(
-        self, kernel: Kernel, call: Call, service: str, passage: Passage
+        self, kernel: Kernel, call: Call, service: str, callbacks: Passage
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
@@ -54,65 +58,67 @@
         self._standings = kernel.get(Standings)
         self._call = call
         self._service = service
-        self._passage = passage
-        self._waiting: SendWait | None = None
+        self._callbacks = callbacks
+        self._permit_wait: SendWait | None = None
         self._basis = NO_BASIS
         self._sent_at = 0.0
         self.denied: set[str] = set()
 
     def close(self) -> None:
-        """Wait for no send any more."""
-        if self._waiting is not None:
-            self._waiting.close()
-            self._waiting = None
+        """Cancel a pending permit request."""
+        if self._permit_wait is not None:
+            self._permit_wait.close()
+            self._permit_wait = None
 
-    # Before a send.
+    # Before a send
 
-    def ask(self, endpoint: Endpoint, left: float) -> None:
-        """Ask for a send, of a call with ``left`` seconds of its objective."""
+    def ask(self, endpoint: Endpoint, time_left: float) -> None:
+        """Request a permit; ``time_left`` is what the objective leaves."""
         known = self._limits.find(endpoint.id)
         if known is None:
-            self._passage.on_open(endpoint, NO_BASIS)
+            self._callbacks.on_open(endpoint, NO_BASIS)
             return
-        named = round(self._clock.now() - known.named_at, 3)
-        self._passage.on_step(
-            "limit", endpoint=endpoint.id, limit=known.limit, named=named
+        seconds_since = round(self._clock.now() - known.named_at, 3)
+        self._callbacks.on_step(
+            "limit", endpoint=endpoint.id, limit=known.limit, named=seconds_since
         )
         outcome = Outcome(
             lambda basis: self._on_granted(endpoint, basis),
             lambda wait: self._on_denied(endpoint, wait),
         )
-        waiting = self._permits.ask(endpoint, max(0.0, left) * PATIENT_PART, outcome)
-        if waiting is not None:
-            self._waiting = waiting
+        permit_wait = self._permits.ask(
+            endpoint, max(0.0, time_left) * PATIENT_PART, outcome
+        )
+        if permit_wait is not None:
+            self._permit_wait = permit_wait
 
     @property
     def is_denied_often(self) -> bool:
-        """Tell whether the call has asked at as many endpoints as it may."""
+        """Return whether as many endpoints as allowed denied a permit."""
         return len(self.denied) >= MOST_DENIED
 
     def _on_granted(self, endpoint: Endpoint, basis: Basis) -> None:
-        self._waiting = None
+        self._permit_wait = None
         if self._placing.holds(endpoint, self._call.model):
-            self._passage.on_open(endpoint, basis)
+            self._callbacks.on_open(endpoint, basis)
             return
-        # The send is lost: kept for another call, it would outlive its time.
-        self._passage.on_shut()
+        # The permit is discarded: it would expire before another call used it.
+        self._callbacks.on_shut()
 
     def _on_denied(self, endpoint: Endpoint, wait: float) -> None:
-        """Go on elsewhere, as an endpoint's limit is used up."""
-        self._waiting = None
+        """Choose again, as the rate limit of this endpoint is exhausted."""
+        self._permit_wait = None
         self.denied.add(endpoint.id)
-        self._passage.on_step("full", endpoint=endpoint.id, wait=round(wait, 3))
-        self._passage.on_shut()
+        self._callbacks.on_step("full", endpoint=endpoint.id, wait=round(wait, 3))
+        self._callbacks.on_shut()
 
-    # Where there is no endpoint.
+    # Without an available endpoint
 
     def judge_limits(self, draw: float) -> LimitReached | None:
-        """Return the refusal of a call that limits leave no room for, or None.
+        """Return an error if rate limits leave no room, or None.
 
-        Its caller comes back when a send may be free, each a little later than
-        another by its ``draw`` from 0 to 1.
+        The caller is told to retry when a send may be available, with jitter
+        by its ``draw`` from 0 to 1.
         """
         wait = self._placing.measure_limit_wait(self._service, self.denied)
         if wait is None:
@@ -121,48 +127,48 @@
         return LimitReached(f"service {self._service}", delay)
 
     def find_rest(self, model: Model | None) -> Rest | None:
-        """Return the first rest to end where all endpoints rest, or None.
+        """Return the backoff that ends first if all back off, or None.
 
-        Or, with a ``model``, where those rest that hold it.
+        With a ``model``, only the endpoints that hold it count.
         """
-        rest = self._placing.find_rest(self._service, model)
-        if rest is not None:
-            wait = round(rest.seconds, 3)
-            self._passage.on_step("rest", endpoint=rest.endpoint.id, wait=wait)
-        return rest
+        backoff = self._placing.find_rest(self._service, model)
+        if backoff is not None:
+            wait = round(backoff.seconds, 3)
+            self._callbacks.on_step("rest", endpoint=backoff.endpoint.id, wait=wait)
+        return backoff
 
     def judge_rest(
-        self, rest: Rest, left: float, draw: float
+        self, backoff: Rest, time_left: float, draw: float
     ) -> EndpointsResting | None:
-        """Return the refusal of a call that is late behind a rest, or None.
+        """Return an error if a backoff delays the call too long, or None.
 
-        It has ``left`` seconds of its objective.
+        The call has ``time_left`` seconds of its objective.
         """
-        if rest.seconds <= left * PATIENT_PART:
+        if backoff.seconds <= time_left * PATIENT_PART:
             return None
-        delay = max(COME_BACK, rest.seconds) + draw * RETURN_SPREAD
+        delay = max(COME_BACK, backoff.seconds) + draw * RETURN_SPREAD
         return EndpointsResting(f"service {self._service}", delay)
 
-    def await_rest(self, rest: Rest) -> None:
-        """Let the call choose again once a rest is over."""
-        wait = max(LEAST_WAIT, rest.seconds)
-        self._loop.call_later(wait, self._passage.on_shut)
+    def await_rest(self, backoff: Rest) -> None:
+        """Let the call choose again when a backoff has ended."""
+        wait = max(LEAST_WAIT, backoff.seconds)
+        self._loop.call_later(wait, self._callbacks.on_shut)
 
-    # A send, and its answer.
+    # Sends and their answers
 
     def begin(self, endpoint: Endpoint, basis: Basis) -> None:
-        """Count a send on a basis."""
+        """Count a send on the given basis."""
         self._basis = basis
         self._sent_at = self._clock.now()
         self._limits.note_send(endpoint, basis.fence > 0)
         self._standings.note_send(endpoint)
 
     def may_send(self, endpoint: Endpoint) -> bool:
-        """Tell whether the first byte of the call may still be written."""
+        """Return whether the first byte of the call may still be written."""
         return self._standings.may_send(endpoint)
 
     def is_resting(self, endpoint: Endpoint) -> bool:
-        """Tell whether an endpoint wants no calls for a while."""
+        """Return whether an endpoint has requested a backoff that lasts."""
         return self._standings.wants_rest(endpoint.id)
 
     def note_head(
@@ -172,10 +178,10 @@
         headers: Mapping[str, str],
         has_run: bool,
     ) -> None:
-        """Learn from the answer's head, and tell the endpoint's owner."""
+        """Update the endpoint's state by an answer; notify its owner."""
         age = self._clock.now() - self._sent_at
         statement = self._standings.note_head(endpoint, status, headers, age)
         answer = Answered(status, statement, has_run, self._basis, age)
-        naming = self._limits.note_answer(endpoint, answer)
-        if naming is not None:
-            self._permits.tell(endpoint, naming)
+        announcement = self._limits.note_answer(endpoint, answer)
+        if announcement is not None:
+            self._permits.tell(endpoint, announcement)
--- a/roadlift/instance/progress.py
+++ b/roadlift/instance/progress.py
@@ -1,12 +1,12 @@
-"""Follow how a call comes on: its decisions, its first byte and its pauses."""
+"""Record the progress of a call: its steps, its first byte and its pauses."""
 
 from roadlift.serving.routes import Route
 
-MOST_STEPS = 16  # Decisions of one call that are kept for the logs.
+MOST_STEPS = 16  # Steps of one call that are kept for the log.
 
 
 class Progress:
-    """What became of one call since it came; times are in seconds."""
+    """The progress of one call since it arrived; times are in seconds."""
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
@@ -17,13 +17,13 @@
         self.longest_pause = 0.0
 
     def note_step(self, now: float, step: str, **fields: object) -> None:
-        """Keep a decision for the line that the call's end may write."""
+        """Record a step for the log line of the call's end."""
         if len(self.steps) < MOST_STEPS:
             age = round(now - self.began_at, 4)
             self.steps.append({"at": age, "step": step, **fields})
 
     def note_write(self, now: float) -> None:
-        """Learn that a part of the answer was written to the caller."""
+        """Record that a part of the answer was written to the caller."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -32,12 +32,12 @@
         self.writes += 1
 
     def note_whole(self, now: float) -> None:
-        """Learn that the answer was written at once."""
+        """Record that the answer was written in one piece."""
         self.first_at = now
 
     @property
     def first_after(self) -> float | None:
-        """Return the seconds from the call to the first byte, or None."""
+        """Return the seconds from the arrival to the first byte, or None."""
         return None if self.first_at is None else self.first_at - self.began_at
 
     @property
@@ -46,9 +46,9 @@
         return self.last_at - self.first_at if self.first_at is not None else 0.0
 
     def is_late(self, route: Route) -> bool:
-        """Tell whether the first byte, or one behind it, came too late."""
+        """Return whether the first byte or a later one was too late."""
         first = self.first_after
         if first is None or first > route.objective:
             return True
-        most = route.pause_objective
-        return most is not None and self.longest_pause > most
+        limit = route.pause_objective
+        return limit is not None and self.longest_pause > limit
