--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -1,7 +1,7 @@
-"""Tell whose a call is, and whether it may be sent, now and at each send.
+"""Authorize calls by their keys, on arrival and before each send.
 
-A call can wait, and the machine can be suspended in between: what is true
-when a call comes may not be when it is sent.
+A call can wait, and the machine can be suspended in the meantime: a key that
+is valid when the call arrives may be revoked when it is sent.
 """
 
 from typing import NamedTuple
@@ -19,21 +19,25 @@
 from roadlift.serving.calls import Call
 from roadlift.serving.routes import Organisation, Route
 
-# Seconds before a revoked key's time is over from which calls with keys are
-# refused: a send that was checked leaves the process within them.
+# Seconds before a revoked key must not be served any longer from which calls
+# with keys are refused; a send that was checked leaves the process within
+# them.
 SEND_MARGIN = 0.4
-# Seconds after which a caller comes back that is refused as the configuration
-# is old: it comes to another instance, which may know a newer one.
+# Seconds after which a caller may retry that is refused because the
+# configuration is old; it reaches another instance, which may have a newer
+# one.
 OLD_RETURN = 0.3
-LEAST_RETURN = 0.05  # Seconds; the least that a caller over its allowance waits.
-MOST_NAMED = 64  # Organisations that are told apart in metrics.
-OTHERS = "other"  # The label of all further ones.
+LEAST_RETURN = 0.05  # Minimum seconds that a caller over its allowance waits.
+MOST_NAMED = 64  # Organisations with a label of their own in metrics.
+OTHERS = "other"  # The label of all other organisations.
 
 
 class Judgement(NamedTuple):
-    """What a call is judged by: the age in seconds of what is known, and use.
+    """The state by which a call is authorized.
 
-    ``organisation`` is its name, or None for an unknown key.
+    ``age`` is the seconds since the configuration was last confirmed;
+    ``organisation`` is the name, or None for an unknown key; ``use`` is the
+    organisation's use of its allowance.
     """
 
     age: float
@@ -42,10 +46,10 @@
 
 
 class Pass:
-    """The right of one call to be sent.
+    """The authorization of one call to be sent.
 
-    ``organisation`` is None where the call is nobody's; ``amount`` is what it
-    uses of the allowance each time that it runs.
+    ``organisation`` is None if the call belongs to none; ``amount`` is what
+    each run consumes of the allowance.
     """
 
     def __init__(
@@ -53,7 +57,7 @@
     ) -> None:
         self._access = access
         self._key = call.key
-        self._is_paid = organisation is not None
+        self._is_prepaid = organisation is not None
         self.organisation = organisation
         self.amount = 0.0
         if organisation is not None and organisation.allowance is not None:
@@ -70,9 +74,9 @@
 
     def apply_priority(self, route: Route) -> Route:
         """Return the route with the organisation's priority, if it has one."""
-        own = self.organisation.priority if self.organisation else None
-        is_same = own is None or own == route.priority
-        return route if is_same else route._replace(priority=own)
+        priority = self.organisation.priority if self.organisation else None
+        is_same = priority is None or priority == route.priority
+        return route if is_same else route._replace(priority=priority)
 
     def judge(self) -> RoadliftError | None:
         """Return why the call may not be sent now, or None."""
@@ -81,29 +85,29 @@
         return self._access.judge(self._key, self.organisation)
 
     def begin(self) -> None:
-        """Count a send: the first is paid for when the call comes."""
-        if self._is_paid:
-            self._is_paid = False
+        """Count a send; the first one was charged when the call arrived."""
+        if self._is_prepaid:
+            self._is_prepaid = False
         else:
             self._access.spend(self, 1)
 
     def give_back(self) -> None:
-        """Learn that the last send did not run."""
-        self._is_paid = True
+        """Record that the last send did not run; the next is not charged."""
+        self._is_prepaid = True
 
     def end(self, outcome: str) -> None:
-        """Count the end of the call; what did not run is given back."""
+        """Record the end of the call, and refund an unused charge."""
         if self.organisation is None:
             return
-        if self._is_paid:
-            self._is_paid = False
+        if self._is_prepaid:
+            self._is_prepaid = False
             self._access.spend(self, -1)
         self._access.count(self.organisation, outcome)
 
 
 @parts.register("access")
 class Access:
-    """Judges calls by their keys, by what is known, and by allowances."""
+    """Authorizes calls by keys, the configuration's age and allowances."""
 
     name = "access"
     needs = ("allowances", "follower", "measures")
@@ -113,21 +117,21 @@
         self._allowances = kernel.get(Allowances)
         self._follower = kernel.get(Follower)
         self._measures = kernel.get(Measures)
-        self._named: set[str] = set()
+        self._labelled: set[str] = set()
 
     def start(self) -> None:
-        """Do nothing; calls come later."""
+        """Nothing to start; the work is done for each call."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Nothing to close."""
 
     @property
     def has_keys(self) -> bool:
-        """Tell whether the configuration has organisations with keys."""
+        """Return whether the configuration has organisations with keys."""
         return self._follower.keys is not None
 
     def admit(self, call: Call, route: Route) -> Pass:
-        """Return the pass of a call, or raise why it is refused."""
+        """Return the authorization of a call, or raise why it is refused."""
         if self._follower.keys is None:
             return Pass(self, None, call)
         organisation = self._follower.keys.find(call.key)
@@ -136,22 +140,24 @@
         self.check_age()
         if organisation is None:
             raise UnknownKey()
-        found = Pass(self, organisation, call)
-        wait = self._allowances.take(organisation, found.amount)
+        authorization = Pass(self, organisation, call)
+        wait = self._allowances.take(organisation, authorization.amount)
         if wait:
             self.count(organisation, OverAllowance.code)
             detail = f"organisation {organisation.name}"
             raise OverAllowance(detail, max(LEAST_RETURN, wait))
-        return found
+        return authorization
 
     def check_age(self) -> None:
-        """Raise StaleConfiguration where a key may have been revoked since."""
+        """Raise StaleConfiguration if a key may have been revoked since."""
         limit = self._kernel.settings.revoke_ms / 1000.0
         if not limit or self._follower.keys is None:
             return
         age = self._follower.measure_operator_age()
         if age > limit - SEND_MARGIN:
-            raise StaleConfiguration(f"known as of {age:.2f} s ago", OLD_RETURN)
+            raise StaleConfiguration(
+                f"configuration last confirmed {age:.2f} s ago", OLD_RETURN
+            )
 
     def judge(self, key: str, organisation: Organisation) -> RoadliftError | None:
         """Return why an organisation's call may not be sent now, or None."""
@@ -163,24 +169,26 @@
             return None
         found = self._follower.keys.find(key)
         if found is None or found.name != organisation.name:
-            return UnknownKey("revoked meanwhile")
+            return UnknownKey("revoked after the call arrived")
         return None
 
-    def spend(self, one: Pass, times: int) -> None:
-        """Count a run of a call, or, below 0, one that was not."""
-        if one.organisation is not None:
-            self._allowances.spend(one.organisation, times * one.amount)
+    def spend(self, authorization: Pass, times: int) -> None:
+        """Charge runs of a call; a negative number of runs is a refund."""
+        if authorization.organisation is not None:
+            self._allowances.spend(
+                authorization.organisation, times * authorization.amount
+            )
 
     def count(self, organisation: Organisation, outcome: str) -> None:
         """Count how a call of an organisation ended."""
         label = organisation.name
-        if label not in self._named and len(self._named) >= MOST_NAMED:
+        if label not in self._labelled and len(self._labelled) >= MOST_NAMED:
             label = OTHERS
-        self._named.add(label)
+        self._labelled.add(label)
         self._measures.count("roadlift_organisation_calls", label, outcome)
 
     def describe(self, call: Call | None) -> Judgement | None:
-        """Return what a call is judged by, where callers have keys."""
+        """Return the state by which a call is authorized, if keys are used."""
         if call is None or self._follower.keys is None:
             return None
         age = self._follower.measure_operator_age()
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -1,4 +1,4 @@
-"""Take callers' requests, find their routes, and leave without a cut."""
+"""Accept callers' requests, find their routes, and drain before shutdown."""
 
 import random
 
@@ -39,12 +39,12 @@
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.routes import Configuration, Route
 
-DRAIN_TICK = 0.1  # Seconds between looks at how far the leaving is.
-# Seconds before the limit of leaving at which a process ends by itself: what
-# it takes to close, and the delay of a timer on a slow instance.
+DRAIN_TICK = 0.1  # Seconds between checks of the drain's progress.
+# Seconds before the drain limit at which a process ends by itself: the time
+# that it takes to close, and the delay of a timer on a slow instance.
 END_MARGIN = 0.5
-# Of the calls that were served in time, one in so many is logged; of others,
-# each.
+# One of this many calls that were served in time is logged; of all other
+# calls, each one.
 SAMPLE = 20
 
 log = PartLog("ingress")
@@ -86,9 +86,9 @@
         self.measures = kernel.get(Measures)
         self._exchanges: set[Exchange] = set()
         self._budgets: dict[str, WindowBudget] = {}
-        self._served = 0
-        self._adapters = ServedAdapters(kernel)
-        self._refusals = RefusalLog(kernel.clock)
+        self._served_count = 0
+        self._served_adapters = ServedAdapters(kernel)
+        self._refusal_log = RefusalLog(kernel.clock)
         self.is_over = False
         limit = max(settings.grace, settings.drain_limit - END_MARGIN)
         self._drain = Drain(kernel.clock, settings.grace, limit)
@@ -97,46 +97,49 @@
             kernel.loop, Address.parse(settings.http), self, HttpLimits()
         )
         self._ready_server = Server(
-            kernel.loop, Address.parse(settings.ready), _Readiness(self), HttpLimits()
+            kernel.loop,
+            Address.parse(settings.ready),
+            _ReadinessHandler(self),
+            HttpLimits(),
         )
-        self._follower.on_configuration.append(self._take_limits)
+        self._follower.on_configuration.append(self._apply_limits)
         self._ledger = kernel.get(CrashLedger)
-        self._ledger.on_change.append(self._withdraw)
+        self._ledger.on_change.append(self._end_quarantined)
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether new callers should come here."""
+        """Return whether the instance is ready for new callers."""
         return self._follower.is_ready and not self._drain.is_leaving
 
     def start(self) -> None:
-        """Bind the addresses and accept."""
+        """Bind the addresses and start to accept."""
         self._server.start()
         self._ready_server.start()
-        self._adapters.start()
+        self._served_adapters.start()
         log.event("started", version=__version__)
 
     def close(self) -> None:
-        """Cut what is left."""
+        """Cut the remaining exchanges and close the servers."""
         if self._timer is not None:
             self._timer.close()
         for exchange in list(self._exchanges):
             exchange.close()
-        self._adapters.close()
+        self._served_adapters.close()
         self._server.close()
         self._ready_server.close()
         log.event("stopped", cut=len(self._exchanges))
 
     def leave(self) -> None:
-        """Begin to leave; a second time does nothing."""
+        """Start to drain; further calls have no effect."""
         if self._drain.is_leaving:
             return
         log.event("leaving", running=len(self._exchanges))
         self._drain.start()
-        self._timer = self._kernel.loop.call_every(DRAIN_TICK, self._tick)
+        self._timer = self._kernel.loop.call_every(DRAIN_TICK, self._check_drain)
         self._kernel.get(Leases).release()
 
     def draw(self) -> float:
-        """Return a number from 0 to 1, by which callers' returns differ."""
+        """Return a random number from 0 to 1, as jitter for retries."""
         return self._rng.random()
 
     def get_budget(self, service: str) -> WindowBudget:
@@ -150,42 +153,42 @@
         return budget
 
     def spend_retry(self, service: str, now: float) -> bool:
-        """Take a retry of a service's budget; False: none is left."""
+        """Consume a retry of a service's budget; return False without one."""
         instances = self._knowledge.count_instances()
         return self.get_budget(service).spend(now, instances)
 
     def handle(self, received: Received, caller: Connection) -> None:
-        """Begin the exchange of a request, or refuse it."""
+        """Start the exchange of a request, or refuse it."""
         call = None
         try:
-            call = self._read(received)
-            self._begin(call, caller)
+            call = self._read_call(received)
+            self._start_exchange(call, caller)
         except RoadliftError as error:
             self._refuse(received, caller, error, call)
         except Exception as error:
-            log.error("A request broke the ingress: %r.", error)
+            log.error("Unhandled error in the ingress: %r.", error)
             self._refuse(received, caller, RoadliftError(type(error).__name__), call)
 
     def finish(self, exchange: Exchange) -> None:
-        """Forget an exchange that is over."""
+        """Remove an exchange that has ended."""
         self._exchanges.discard(exchange)
         self.measures.set("roadlift_running_calls", len(self._exchanges))
 
     def log_end(
         self, outcome: str, is_late: bool, model: Model | None, **fields: object
     ) -> None:
-        """Log how a call ended; of those served in time a sample."""
+        """Log how a call ended; calls that were served in time are sampled."""
         if outcome == "served" and model is not None:
-            self._adapters.note(str(model))
+            self._served_adapters.note(str(model))
         if outcome == "served" and not is_late:
-            self._served += 1
-            if self._served % SAMPLE:
+            self._served_count += 1
+            if self._served_count % SAMPLE:
                 return
             fields["one_in"] = SAMPLE
         name = str(model) if model else None
         log.event("call_ended", outcome=outcome, model=name, **fields)
 
-    def _read(self, received: Received) -> Call:
+    def _read_call(self, received: Received) -> Call:
         if self._follower.configuration is None:
             raise NoConfiguration(retry_after=1.0)
         return self._format.read_call(received)
@@ -194,27 +197,29 @@
         host = call.host.partition(":")[0].lower()
         route = self._follower.routes.find(host, call.path)
         if route is None:
-            # An old configuration may lack a route as well as hold a key.
+            # An old configuration may lack a new route, just as it may still
+            # contain a revoked key.
             self._access.check_age()
             raise NoRoute(f"{host}{call.path}")
         return route
 
-    def _begin(self, call: Call, caller: Connection) -> None:
+    def _start_exchange(self, call: Call, caller: Connection) -> None:
         route = self._find_route(call)
         if not self._follower.directory.is_known:
             raise NoConfiguration("no endpoint is known yet", 1.0)
         phase = self._drain.measure_phase(1, 0)
         if phase >= Phase.ENDED or (phase is Phase.CLOSED and route.is_long):
-            # A stream that began now might be cut at the end of the leaving.
+            # A stream that starts now might be cut at the end of the drain.
             raise Draining(retry_after=0.1)
-        granted = self._access.admit(call, route)
-        exchange = Exchange(self._kernel, self, call, route, granted, caller)
+        authorization = self._access.admit(call, route)
+        exchange = Exchange(self._kernel, self, call, route, authorization, caller)
         self._exchanges.add(exchange)
         self.measures.set("roadlift_running_calls", len(self._exchanges))
         try:
             exchange.start()
         except Exception as error:
-            # The exchange answers, so that no send of it stays under way.
+            # The exchange answers the caller, so that none of its sends keeps
+            # running.
             exchange.abort(error)
 
     def _refuse(
@@ -226,11 +231,11 @@
     ) -> None:
         call_id = self._format.read_id(received)
         self.measures.count("roadlift_refusals", error.code)
-        self._refusals.note(
+        self._refusal_log.note(
             error.code,
             call_id,
             str(error),
-            self._describe_configuration(),
+            self._get_configuration_version(),
             self._access.describe(call),
         )
         headers = dict(self._format.describe(call_id)) if call_id else {}
@@ -238,21 +243,21 @@
             headers["Retry-After"] = f"{error.retry_after:g}"
         caller.answer_error(error, headers)
 
-    def _describe_configuration(self) -> int | None:
+    def _get_configuration_version(self) -> int | None:
         configuration = self._follower.configuration
         return configuration.version if configuration else None
 
-    def _withdraw(self, identity: bytes) -> None:
-        """End the calls that turn out to end endpoints."""
+    def _end_quarantined(self, identity: bytes) -> None:
+        """End the running calls whose work turns out to crash endpoints."""
         if not self._ledger.crashes.is_refused(identity):
             return
         for exchange in list(self._exchanges):
             exchange.withdraw(identity)
 
-    def _take_limits(self, configuration: Configuration) -> None:
+    def _apply_limits(self, configuration: Configuration) -> None:
         self._server.limits = configuration.limits
 
-    def _tick(self) -> None:
+    def _check_drain(self) -> None:
         phase = self._drain.measure_phase(len(self._exchanges), 0)
         if phase is Phase.SERVING:
             return
@@ -267,14 +272,14 @@
             self._kernel.loop.call_later(DRAIN_TICK, self._kernel.stop)
 
 
-class _Readiness:
-    """Answers the platform's question whether this instance is ready."""
+class _ReadinessHandler:
+    """Answers the platform's readiness checks of this instance."""
 
     def __init__(self, ingress: Ingress) -> None:
         self._ingress = ingress
 
     def handle(self, received: Received, caller: Connection) -> None:
-        """Answer 200 or 503."""
+        """Answer 200 if the instance is ready, else 503."""
         is_ready = self._ingress.is_ready
         status, body = (200, b"ready\n") if is_ready else (503, b"not ready\n")
         caller.answer(status, {"Content-Type": "text/plain"}, body)
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -1,19 +1,20 @@
-"""Log why requests were refused, bounded under a flood of them."""
+"""Log why requests were refused, with a bounded number of lines."""
 
 from roadlift.core.clock import Clock
 from roadlift.core.logs import PartLog
 from roadlift.instance.access import Judgement
 
-# Lines a second for one error. A line costs some 0.1 ms of a processor: a
-# flood of bad keys, 3,000 a second at one instance, would take a third of it.
+# Lines a second for each error code. A line costs about 0.1 ms of processor
+# time: a flood of invalid keys, 3,000 a second at one instance, would use a
+# third of a processor.
 MOST_LINES = 20
-MOST_AGE = 999.0  # Seconds; what was never known is logged as this.
+MOST_AGE = 999.0  # Seconds; logged for what was never known.
 
 log = PartLog("ingress")
 
 
 class RefusalLog:
-    """The lines on refusals; what is left out is counted in the next line."""
+    """The log lines on refusals; each line counts those omitted before it."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -27,20 +28,20 @@
         request: str,
         error: str,
         configuration: int | None,
-        judgement: Judgement | None,
+        access_state: Judgement | None,
     ) -> None:
         """Write a line, unless too many of the same error were written."""
-        if not self._take_line(code):
+        if not self._count_line(code):
             self._left_out[code] = self._left_out.get(code, 0) + 1
             return
-        use = judgement.use if judgement else None
+        use = access_state.use if access_state else None
         log.event(
             "call_refused",
             request=request,
             error=error,
             configuration=configuration,
-            configuration_age=_round_age(judgement.age) if judgement else None,
-            organisation=judgement.organisation if judgement else None,
+            configuration_age=_round_age(access_state.age) if access_state else None,
+            organisation=access_state.organisation if access_state else None,
             share=round(use.part, 4) if use else None,
             used=round(use.used) if use else None,
             demand=round(use.demand) if use else None,
@@ -48,8 +49,8 @@
             left_out=self._left_out.pop(code, 0),
         )
 
-    def _take_line(self, code: str) -> bool:
-        """Count a line of this second; False means that there are enough."""
+    def _count_line(self, code: str) -> bool:
+        """Count a line of this second; return False above the maximum."""
         second = int(self._clock.now())
         if second != self._second:
             self._second = second
--- a/roadlift/instance/served.py
+++ b/roadlift/instance/served.py
@@ -1,19 +1,22 @@
-"""Log which adapters calls were served with, as most served calls are not."""
+"""Log which adapters calls were served with.
+
+Most calls that are served in time have no log line of their own.
+"""
 
 from roadlift.core.kernel import Kernel
 from roadlift.core.logs import PartLog
 
-# Seconds between lines. A process that is killed loses the last one, so an
-# adapter that was served counts as unserved for so long at most.
+# Seconds between lines. A process that is killed loses its last line, so that
+# an adapter that was served counts as unserved for at most this time.
 PERIOD = 10.0
-# Adapters that one line names: some 4 KB, as many as a busy instance serves.
+# Adapters that one line names: about 4 KB, as many as a busy instance serves.
 MOST_NAMED = 256
 
 log = PartLog("ingress")
 
 
 class ServedAdapters:
-    """The adapters of the calls served since the last line."""
+    """The adapters of the calls that were served since the last line."""
 
     def __init__(self, kernel: Kernel) -> None:
         self._loop = kernel.loop
@@ -22,7 +25,7 @@
         self._left_out = 0
 
     def start(self) -> None:
-        """Begin to write lines."""
+        """Start to write lines."""
         self._timer = self._loop.call_every(PERIOD, self._write)
 
     def close(self) -> None:
@@ -32,7 +35,7 @@
             self._write()
 
     def note(self, model: str) -> None:
-        """Learn that a call was served with an adapter."""
+        """Record that a call was served with an adapter."""
         if len(self._models) < MOST_NAMED:
             self._models.add(model)
         elif model not in self._models:
