--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -1,7 +1,7 @@
 """Keep this process's calls within the allowances of organisations.
 
-What is told of them goes with ``sharing``; what is made of it is decided in
-``roadlift/organisations``.
+``sharing`` exchanges the usage reports between instances; the shares are
+computed in ``roadlift/organisations``.
 """
 
 from collections.abc import Mapping
@@ -15,16 +15,18 @@
 from roadlift.organisations.sharing import DemandSharing
 from roadlift.serving.routes import Allowance, Configuration, Organisation
 
-# Organisations of which the share of the allowance is a metric, those with
-# the largest demand: more series would cost more than they tell.
+# Organisations whose share of the allowance is exported as a metric, those
+# with the highest demand first: more series would cost more than they are
+# worth.
 MOST_MEASURED = 32
 
 
 class UseNow(NamedTuple):
-    """What calls of an organisation are judged by here.
+    """An organisation's use of its allowance, as known to this process.
 
-    ``part`` is of its allowance, ``used`` since the start, ``demand`` is
-    asked for, a second, and ``news_age`` is in seconds.
+    ``part`` is this instance's share of the allowance, ``used`` the amount
+    used since the start, ``demand`` the amount requested a second, and
+    ``news_age`` the seconds since the last update.
     """
 
     part: float
@@ -35,7 +37,7 @@
 
 @parts.register("allowances")
 class Allowances:
-    """What this process's calls use of organisations' allowances."""
+    """The use of organisations' allowances by this process's calls."""
 
     name = "allowances"
     needs = ("follower", "measures")
@@ -53,18 +55,18 @@
         self._meters: dict[str, Meter] = {}
         self._sharing = DemandSharing()
         self.fleet = FleetUse(self._limits)
-        kernel.get(Follower).on_configuration.append(self._take_configuration)
+        kernel.get(Follower).on_configuration.append(self._apply_configuration)
 
     def start(self) -> None:
-        """Do nothing; calls come later."""
+        """Nothing to start; the work is done for each call."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Nothing to close."""
 
-    # Calls.
+    # Calls
 
     def take(self, organisation: Organisation, amount: float) -> float:
-        """Take an amount and return 0, or the seconds until there is room."""
+        """Consume an amount and return 0, or return the seconds to wait."""
         meter = self._find_meter(organisation.name)
         if meter is None:
             return 0.0
@@ -73,13 +75,13 @@
         return meter.take(amount, now)
 
     def spend(self, organisation: Organisation, amount: float) -> None:
-        """Count what is used in any case, or, below 0, was not after all."""
+        """Charge an amount without a check; a negative amount is a refund."""
         meter = self._find_meter(organisation.name)
         if meter is not None:
             meter.spend(amount)
 
     def describe(self, organisation: Organisation) -> UseNow | None:
-        """Return what calls of an organisation are judged by."""
+        """Return an organisation's current use of its allowance, or None."""
         meter = self._meters.get(organisation.name)
         if meter is None:
             return None
@@ -101,12 +103,12 @@
             meter = self._meters[name] = Meter(allowance, self._limits, now)
         return meter
 
-    def _take_configuration(self, configuration: Configuration) -> None:
-        """Go by the allowances of a configuration."""
+    def _apply_configuration(self, configuration: Configuration) -> None:
+        """Apply the allowances of a configuration."""
         self._allowances = {
-            one.name: one.allowance
-            for one in configuration.organisations or ()
-            if one.allowance is not None
+            organisation.name: organisation.allowance
+            for organisation in configuration.organisations or ()
+            if organisation.allowance is not None
         }
         self.fleet.set_allowances(self._allowances)
         for name, meter in list(self._meters.items()):
@@ -115,26 +117,26 @@
             else:
                 del self._meters[name]
 
-    # Tellings.
+    # Usage reports
 
     def list_own(self) -> list[Use]:
-        """Return what this process tells."""
+        """Return the use that this process reports."""
         now = self._kernel.clock.now()
-        self._measure(now)
-        found = []
+        self._update_metrics(now)
+        uses = []
         for name, meter in self._meters.items():
             demand = meter.demand.measure(now)
             if demand >= LEAST_DEMAND:
-                found.append(Use(name, round(meter.spent, 2), round(demand, 2)))
-        return found
+                uses.append(Use(name, round(meter.spent, 2), round(demand, 2)))
+        return uses
 
     def note_news(self, states: list[FleetState], asked_at: float) -> None:
-        """Take what an aggregator answered to what was told at a time."""
+        """Apply the aggregator's answer to the report sent at ``asked_at``."""
         self._sharing.note_news(states, asked_at)
 
-    def _measure(self, now: float) -> None:
+    def _update_metrics(self, now: float) -> None:
         demand = lambda item: item[1].demand.measure(now)
         largest = sorted(self._meters.items(), key=demand, reverse=True)
         for name, meter in largest[:MOST_MEASURED]:
-            part = meter.share.part
-            self._measures.set("roadlift_allowance_part", part, name)
+            share = meter.share.part
+            self._measures.set("roadlift_allowance_part", share, name)
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -1,4 +1,4 @@
-"""Count the calls to plain services, of this process and of all."""
+"""Count the calls to plain services, of this process and of all instances."""
 
 import random
 from collections.abc import Iterable, Mapping
@@ -13,14 +13,14 @@
     ServiceSpread,
 )
 
-# Calls under way and calls a second below which a service is not told.
+# Calls running and calls a second below which a service is not reported.
 LEAST_TOLD = 0.005
 
 LoadsByZone = dict[str, dict[str, ServiceLoad]]
 
 
 class ZoneLoad(NamedTuple):
-    """The load of a service by the instances of a zone, as it is told."""
+    """The load of a service by the instances of a zone, as it is reported."""
 
     service: str
     zone: str
@@ -29,9 +29,9 @@
     served: float
 
 
-class _Teller(NamedTuple):
+class _Report(NamedTuple):
     loads: list[ZoneLoad]
-    heard_at: float
+    received_at: float
 
 
 @parts.register("serviceloads")
@@ -44,84 +44,84 @@
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
         self._zone = kernel.settings.zone
-        self._own: dict[str, OwnLoad] = {}
-        self._members: dict[str, _Teller] = {}
-        self._others: dict[str, _Teller] = {}
+        self._local: dict[str, OwnLoad] = {}
+        self._members: dict[str, _Report] = {}
+        self._aggregators: dict[str, _Report] = {}
         self.spread = ServiceSpread(self._zone, random.Random(kernel.stamp))
 
     def start(self) -> None:
-        """Do nothing; calls come later."""
+        """Nothing to start; the work is done for each call."""
 
     def close(self) -> None:
-        """Do nothing."""
+        """Nothing to close."""
 
     def find_own(self, service: str) -> OwnLoad:
         """Return the load of a service by this process."""
-        load = self._own.get(service)
+        load = self._local.get(service)
         if load is None:
-            load = self._own[service] = OwnLoad(self._clock.now())
+            load = self._local[service] = OwnLoad(self._clock.now())
         return load
 
-    # Tellings.
+    # Usage reports
 
     def list_own(self) -> list[ZoneLoad]:
-        """Return what this process tells."""
+        """Return the loads that this process reports."""
         now = self._clock.now()
-        found = {
-            name: {self._zone: own.measure(now)} for name, own in self._own.items()
+        totals = {
+            name: {self._zone: load.measure(now)} for name, load in self._local.items()
         }
-        return _list_told(found)
+        return _list_reportable(totals)
 
     def note_member(self, address: str, loads: Iterable[ZoneLoad]) -> None:
-        """Take what an instance told."""
-        self._members[address] = _Teller(list(loads), self._clock.now())
+        """Record the report of an instance."""
+        self._members[address] = _Report(list(loads), self._clock.now())
 
     def note_other(self, address: str, loads: Iterable[ZoneLoad]) -> None:
-        """Take the sums that another aggregator told."""
-        self._others[address] = _Teller(list(loads), self._clock.now())
+        """Record the sums that another aggregator reported."""
+        self._aggregators[address] = _Report(list(loads), self._clock.now())
 
     def forget_member(self, address: str) -> None:
-        """Drop an instance that tells another aggregator from now on."""
+        """Remove an instance that reports to another aggregator now."""
         self._members.pop(address, None)
 
     def list_sums(self) -> list[ZoneLoad]:
         """Return the sums of the members, for other aggregators."""
-        found: LoadsByZone = {}
-        self._add(self._members, found)
-        return _list_told(found)
+        totals: LoadsByZone = {}
+        self._add(self._members, totals)
+        return _list_reportable(totals)
 
     def list_all(self) -> list[ZoneLoad]:
         """Return the sums of all instances, for the members."""
-        found: LoadsByZone = {}
-        self._add(self._members, found)
-        self._add(self._others, found)
-        return _list_told(found)
+        totals: LoadsByZone = {}
+        self._add(self._members, totals)
+        self._add(self._aggregators, totals)
+        return _list_reportable(totals)
 
     def note_news(self, loads: Iterable[ZoneLoad]) -> None:
-        """Take the sums of all instances."""
-        found: LoadsByZone = {}
-        _sum_up(loads, found)
-        self.spread.note_news(found, self._clock.now())
+        """Apply the sums of all instances."""
+        totals: LoadsByZone = {}
+        _sum_up(loads, totals)
+        self.spread.note_news(totals, self._clock.now())
 
-    def _add(self, tellers: dict[str, _Teller], found: LoadsByZone) -> None:
-        """Add up what those tell that were heard of late."""
+    def _add(self, reports: dict[str, _Report], totals: LoadsByZone) -> None:
+        """Add up the recent reports, and remove the others."""
         now = self._clock.now()
-        for address, teller in list(tellers.items()):
-            if now - teller.heard_at > NEWS_LIMIT:
-                del tellers[address]
+        for address, report in list(reports.items()):
+            if now - report.received_at > NEWS_LIMIT:
+                del reports[address]
             else:
-                _sum_up(teller.loads, found)
+                _sum_up(report.loads, totals)
 
 
-def _sum_up(loads: Iterable[ZoneLoad], found: LoadsByZone) -> None:
+def _sum_up(loads: Iterable[ZoneLoad], totals: LoadsByZone) -> None:
     for service, zone, *load in loads:
-        zones = found.setdefault(service, {})
+        zones = totals.setdefault(service, {})
         zones[zone] = zones.get(zone, NO_LOAD).add(ServiceLoad(*load))
 
 
-def _list_told(loads: Mapping[str, Mapping[str, ServiceLoad]]) -> list[ZoneLoad]:
+def _list_reportable(loads: Mapping[str, Mapping[str, ServiceLoad]]) -> list[ZoneLoad]:
     return [
-        ZoneLoad(service, zone, *(round(number, 2) for number in load))
+        ZoneLoad(service, zone, *(round(value, 2) for value in load))
         for service, zones in loads.items()
         for zone, load in zones.items()
         if max(load) >= LEAST_TOLD
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -1,9 +1,9 @@
-"""Tell what this process uses of what all instances share, and hear the rest.
+"""Exchange the use of resources that all instances share.
 
 Allowances of organisations and the slots of plain services are shared by all
-instances, and no instance has a count of its own. Each tells its aggregator
-four times a second what it uses and is told how all stands; aggregators tell
-each other their sums. Between zones go sums alone.
+instances, and no instance can count their use alone. Four times a second each
+instance reports its use to its aggregator and receives the totals; aggregators
+send their sums to each other. Between zones only sums are sent.
 """
 
 from typing import NamedTuple
@@ -26,21 +26,21 @@
     SharedStates,
 )
 
-TELL_PERIOD = 0.25  # Seconds between tellings.
-# Seconds for which limits that another aggregator told stand without news.
+TELL_PERIOD = 0.25  # Seconds between usage reports.
+# Seconds for which limits from another aggregator are used without an update.
 LIMITS_LIFE = 1.2
 
 
-class _ToldLimits(NamedTuple):
-    """The limits that an aggregator told, and when."""
+class _ReceivedLimits(NamedTuple):
+    """The rate limits that another aggregator sent, and when."""
 
     limits: list[ToldLimit]
-    heard_at: float
+    received_at: float
 
 
 @parts.register("sharing")
 class SharedUse:
-    """The tellings of what is shared, as an instance or as an aggregator."""
+    """The usage reports of an instance, and of an aggregator if it is one."""
 
     name = "sharing"
     needs = (
@@ -63,63 +63,66 @@
         self._services = kernel.get(ServiceLoads)
         self._limits = kernel.get(EndpointLimits)
         self._permits = kernel.get(Permits)
-        self._others: dict[str, _ToldLimits] = {}
-        self._told = ""
+        self._aggregator_limits: dict[str, _ReceivedLimits] = {}
+        self._last_source = ""
         self._timer: Timer | None = None
-        self._transport.subscribe((InstanceUse,), self._take_use)
-        self._transport.subscribe((InstanceTotals,), self._take_totals)
-        self._transport.subscribe((SharedStates,), self._take_states)
-        self._transport.subscribe((LimitNews,), self._take_limits)
+        self._transport.subscribe((InstanceUse,), self._handle_usage)
+        self._transport.subscribe((InstanceTotals,), self._handle_totals)
+        self._transport.subscribe((SharedStates,), self._handle_states)
+        self._transport.subscribe((LimitNews,), self._handle_limits)
 
     def start(self) -> None:
-        """Begin to tell."""
-        self._timer = self._kernel.loop.call_every(TELL_PERIOD, self._tell)
+        """Start to send reports."""
+        self._timer = self._kernel.loop.call_every(TELL_PERIOD, self._send_reports)
 
     def close(self) -> None:
-        """Tell no more."""
+        """Stop sending reports."""
         self._timer.close()
 
-    # What is told.
+    # Sent messages
 
-    def _tell(self) -> None:
-        """Tell what is used, to the aggregator or as one."""
+    def _send_reports(self) -> None:
+        """Report the use, to the aggregator or as one."""
         now = self._kernel.clock.now()
         if not self._leases.list_held():
-            self._tell_aggregator(now)
+            self._report_to_aggregator(now)
             return
         uses = self._allowances.list_own()
         self._allowances.fleet.note_member(self._peer, self._kernel.stamp, uses, now)
         self._services.note_member(self._peer, self._services.list_own())
-        self._tell_others(now)
+        self._send_totals(now)
         states = self._allowances.fleet.describe(self._peer, now)
         self._allowances.note_news(states, now)
         self._services.note_news(self._services.list_all())
         self._limits.note_news(self._list_limits(now), now)
 
-    def _tell_aggregator(self, now: float) -> None:
+    def _report_to_aggregator(self, now: float) -> None:
         address = self._subscription.source
-        if address != self._told:
-            if self._told:
-                self._send(self._told, [], [], 0.0, True)
-            self._told = address
+        if address != self._last_source:
+            if self._last_source:
+                self._send_usage(self._last_source, [], [], 0.0, True)
+            self._last_source = address
         if address:
             uses = [list(use) for use in self._allowances.list_own()]
             services = [list(load) for load in self._services.list_own()]
-            self._send(address, uses, services, now, False)
+            self._send_usage(address, uses, services, now, False)
 
-    def _send(
+    def _send_usage(
         self, address: str, uses: list, services: list, at: float, is_leaving: bool
     ) -> None:
         process = self._kernel.stamp
         message = InstanceUse(self._peer, process, uses, services, at, is_leaving)
         self._transport.send(address, message)
 
-    def _tell_others(self, now: float) -> None:
-        """Tell other aggregators, and see which of them are heard."""
+    def _send_totals(self, now: float) -> None:
+        """Send the sums to the other aggregators.
+
+        The use of all instances is known while all of them are received.
+        """
         owners = {self._leases.find_owner(zone) for zone in self._leases.list_zones()}
-        others = {owner or "" for owner in owners} - {self._peer}
+        aggregators = {owner or "" for owner in owners} - {self._peer}
         fleet = self._allowances.fleet
-        fleet.keep_others(others, now)
+        fleet.keep_others(aggregators, now)
         totals = InstanceTotals(
             self._peer,
             self._kernel.stamp,
@@ -127,26 +130,29 @@
             [list(use) for use in fleet.list_totals()],
             [list(load) for load in self._services.list_sums()],
         )
-        self._transport.send_all(others - {""}, totals)
+        self._transport.send_all(aggregators - {""}, totals)
         limits = [list(limit) for limit in self._permits.list_limits()]
         if limits:
-            news = LimitNews(self._peer, True, limits, 0.0)
-            self._transport.send_all(others - {""}, news)
+            update = LimitNews(self._peer, True, limits, 0.0)
+            self._transport.send_all(aggregators - {""}, update)
 
     def _list_limits(self, now: float) -> list[ToldLimit]:
-        """Return the limits of all zones' endpoints."""
-        found = self._permits.list_limits()
-        for address, told in list(self._others.items()):
-            if now - told.heard_at > LIMITS_LIFE:
-                del self._others[address]
+        """Return the rate limits of all zones' endpoints."""
+        limits = self._permits.list_limits()
+        for address, received in list(self._aggregator_limits.items()):
+            if now - received.received_at > LIMITS_LIFE:
+                del self._aggregator_limits[address]
                 continue
-            age = now - told.heard_at
-            found += [one._replace(age=round(one.age + age, 3)) for one in told.limits]
-        return found
+            age = now - received.received_at
+            limits += [
+                limit._replace(age=round(limit.age + age, 3))
+                for limit in received.limits
+            ]
+        return limits
 
-    # What is heard.
+    # Received messages
 
-    def _take_use(self, sender: str, message: InstanceUse) -> None:
+    def _handle_usage(self, sender: str, message: InstanceUse) -> None:
         address, fleet = message.address, self._allowances.fleet
         if message.is_leaving:
             fleet.forget_member(address)
@@ -164,10 +170,10 @@
         self._transport.send(address, answer)
         limits = [list(limit) for limit in self._list_limits(now)]
         if limits:
-            news = LimitNews(self._peer, False, limits, message.at)
-            self._transport.send(address, news)
+            update = LimitNews(self._peer, False, limits, message.at)
+            self._transport.send(address, update)
 
-    def _take_totals(self, sender: str, message: InstanceTotals) -> None:
+    def _handle_totals(self, sender: str, message: InstanceTotals) -> None:
         now = self._kernel.clock.now()
         uses = [read_fields(Use, fields) for fields in message.organisations]
         self._allowances.fleet.note_other(
@@ -175,18 +181,18 @@
         )
         self._services.note_other(message.address, _read_loads(message.services))
 
-    def _take_states(self, sender: str, message: SharedStates) -> None:
+    def _handle_states(self, sender: str, message: SharedStates) -> None:
         if message.address != self._subscription.source:
             return
         states = [read_fields(FleetState, one) for one in message.organisations]
         self._allowances.note_news(states, message.asked_at)
         self._services.note_news(_read_loads(message.services))
 
-    def _take_limits(self, sender: str, message: LimitNews) -> None:
+    def _handle_limits(self, sender: str, message: LimitNews) -> None:
         limits = [read_fields(ToldLimit, one) for one in message.limits]
         if message.is_own:
             now = self._kernel.clock.now()
-            self._others[message.address] = _ToldLimits(limits, now)
+            self._aggregator_limits[message.address] = _ReceivedLimits(limits, now)
         elif message.address == self._subscription.source:
             self._limits.note_news(limits, message.asked_at)
 
