--- a/tests/instance/instance.feature
+++ b/tests/instance/instance.feature
@@ -17,25 +17,25 @@
       | a stream of an adapter   | 0.6     |
       | a resumable stream       | 0.2     |
 
-  Scenario: A stream passes whole events, with the answer's headers
+  Scenario: A stream is forwarded in complete events, with the answer's headers
     When a stream is sent to a
     Then it gets 200 within 0.2 seconds
     And its body is the events 0, 1 and 2
     And its stamp is that of the endpoint
 
-  Scenario: An adapter that was loaded once is there for all
+  Scenario: An adapter that was loaded once is available to all instances
     When a stream of an adapter is sent to a
     And 1 second passes
     And a stream of an adapter is sent to c
     Then it gets 200 within 0.2 seconds
     And 1 load was ordered
 
-  Scenario: More adapters than slots take turns, and no engine overflows
+  Scenario: More adapters than slots are served, and no engine exceeds its slots
     When streams of 9 adapters are sent to b, one each 0.7 seconds
     Then all get 200
     And no engine has crashed
 
-  Scenario Outline: What an endpoint does wrong is mended where it may be
+  Scenario Outline: Faults of endpoints are retried where the call permits it
     Given <endpoints> <fault> next
     When <call> is sent to a
     Then it gets <answer> within <seconds> seconds
@@ -49,9 +49,9 @@
       | plain endpoints | fail once                   | a call to run once | 500    | 0.1     | 0    |
       | plain endpoints | lose an answer              | an idempotent call | 200    | 0.2     | 2    |
       | plain endpoints | lose an answer              | a call to run once | 502    | 0.1     | 1    |
-      | plain endpoints | answer 503 without a proof  | a call to run once | 502    | 0.1     | 0    |
+      | plain endpoints | answer 503 without not-run  | a call to run once | 502    | 0.1     | 0    |
       | plain endpoints | answer 200 without a stamp  | a call to run once | 502    | 0.1     | 0    |
-      | plain endpoints | are mute                    | a call to run once | 504    | 2.1     | 1    |
+      | plain endpoints | never answer                | a call to run once | 504    | 2.1     | 1    |
       | engines         | cut a stream                | a resumable stream | 200    | 0.4     | 2    |
       | engines         | refuse once                 | a stream           | 200    | 0.3     | 1    |
 
@@ -61,61 +61,61 @@
     Then it gets 200 within 0.4 seconds
     And its body is the events 0, 1 and 2
 
-  Scenario: A stream that goes silent is resumed at another engine
-    Given engines leave a stream silent next
+  Scenario: A stalled stream is resumed at another engine
+    Given engines stall a stream next
     When a resumable stream is sent to a
     And 1.2 seconds pass
     Then it gets 200 within 0.1 seconds
     And its body is the events 0, 1 and 2
 
-  Scenario: A cut stream that may not be resumed ends without its end
+  Scenario: A cut stream that may not be resumed is cut for its caller too
     Given engines cut a stream next
     When a stream is sent to a
     And 1 second passes
     Then its answer is cut short
 
-  Scenario Outline: Final answers come at once, and say what is known
+  Scenario Outline: Calls that can't be served are refused at once
     Given <state>
     When <call> is sent to a
     Then it gets <answer> within <seconds> seconds
-    And the hint is <hint>
+    And it has <header>
 
     Examples:
-      | state                         | call                   | answer | seconds | hint              |
-      | nothing special               | a call without a route | 404    | 0.01    | nothing           |
-      | nothing special               | a call without an id   | 400    | 0.01    | nothing           |
-      | all plain endpoints are gone  | an idempotent call     | 503    | 0.01    | when to come back |
-      | all endpoints refuse for long | a call to run once     | 503    | 0.5     | when to come back |
+      | state                           | call                   | answer | seconds | header                |
+      | nothing special                 | a call without a route | 404    | 0.01    | no Retry-After header |
+      | nothing special                 | a call without an id   | 400    | 0.01    | no Retry-After header |
+      | all plain endpoints are gone    | an idempotent call     | 503    | 0.01    | a Retry-After header  |
+      | all endpoints reject many calls | a call to run once     | 503    | 0.5     | a Retry-After header  |
 
-  Scenario: An instance that knows no configuration says so
+  Scenario: An instance without a configuration refuses calls and is not ready
     Given an instance d that can't reach the store
     When an idempotent call is sent to d
     Then it gets 503 within 0.01 seconds
     And d is not ready
 
-  Scenario: An error of the instance's own leaves no call under way
-    Given the choice of an endpoint breaks at a
+  Scenario: An internal error of an instance leaves no running call
+    Given the endpoint selection of a raises an error
     When an idempotent call is sent to a
     Then it gets 500 within 0.01 seconds
-    And a has no call under way
+    And a has no running call
 
-  Scenario: A caller that goes away cancels its run
-    Given plain endpoints are mute next
+  Scenario: The run of a caller that disconnects is cancelled
+    Given plain endpoints never answer next
     When an idempotent call is sent to a
-    And its caller goes away
+    And its caller disconnects
     Then the run is cancelled within 0.05 seconds
 
   Scenario: A call ends at its own time limit
-    Given plain endpoints are mute next
+    Given plain endpoints never answer next
     When an idempotent call with 300 ms is sent to a
     Then it gets 504 within 0.31 seconds
 
-  Scenario: The time left is handed on
+  Scenario: The remaining time is forwarded to the endpoint
     When an idempotent call with 300 ms is sent to a
     Then it gets 200 within 0.1 seconds
     And the endpoint was given at most 300 ms
 
-  Scenario: What callers may not set is not passed on
+  Scenario: Headers that callers may not set are not forwarded
     When an idempotent call with the headers of the system is sent to a
     Then it gets 200 within 0.1 seconds
     And the endpoint has seen none of them
@@ -129,7 +129,7 @@
     Then it gets 200 within 0.6 seconds
     And it has run on version 2
 
-  Scenario: A configuration is in force at once, and never goes back
+  Scenario: A configuration applies at once, and is never replaced by an older one
     When the route of idempotent calls is moved to the engines' zone
     And an idempotent call is sent to a 0.1 seconds later
     Then it gets 404 within 0.01 seconds
@@ -143,14 +143,14 @@
     Then all get 200
     And p1 has run none of them
 
-  Scenario: A change and the end of an entry in one answer end it
-    When p1 beats and vanishes, and 0.75 seconds pass
+  Scenario: An entry that one answer lists as changed and deleted is removed
+    When p1 renews its entry, the entry is deleted, and 0.75 seconds pass
     And 20 idempotent calls are sent to a
     Then all get 200
     And p1 has run none of them
 
-  Scenario: Entries that an outage removed are kept until they had time to return
-    When the store is down for 3 seconds and p1 and p2 lapse
+  Scenario: Entries that expired in an outage are kept until they can be renewed
+    When the store is down for 3 seconds and the entries of p1 and p2 expire
     And an idempotent call is sent to a
     Then it gets 200 within 0.1 seconds
     When 3 seconds pass
@@ -161,16 +161,17 @@
     When 5 seconds pass
     Then the instance of z1 that owns nothing has called the store once at most since
 
-  Scenario: An instance that hears the owners leaves their leases alone
-    The row of a lease is not read while its holder gives signs. Its age was taken
-    for the holder's: at 79 instances each tried to take all three leases of holders
-    that gave signs, was told that another has it, then read all rows again.
+  Scenario: An instance that receives liveness signals does not try to acquire leases
+    The row of a lease is not read while liveness signals of its holder arrive. The
+    age of the row was mistaken for the holder's inactivity: with 79 instances, each
+    tried to acquire all three leases of live holders, failed, and read all rows
+    again.
 
     When 1 second passes
     And nothing happens
-    Then the instance of z1 that owns nothing tries to take no lease for 20 seconds
+    Then the instance of z1 that owns nothing does not request a lease for 20 seconds
 
-  Scenario Outline: An instance that reads nothing still learns in time of a leaving
+  Scenario Outline: An instance that does not read the store is notified of a drain in time
     When 5 seconds pass
     And <trouble>
     And p1 drains and 1.9 seconds pass
@@ -195,14 +196,14 @@
     Then all get 200
     And p1 has run none of them
 
-  Scenario: An entry that an owner keeps for a grace is put back nowhere
-    An owner that could not read the store keeps entries that lapsed meanwhile for
-    a while, as they may come back. It passed them on as if it had read them, so
-    that an instance which knew that p1 was gone put it back and sent calls to it.
+  Scenario: An entry that an owner keeps for a grace period is not restored elsewhere
+    An owner that could not read the store keeps entries that expired in the meantime
+    for a grace period, as they may be renewed. It forwarded them as if it had read
+    them, so that an instance that had removed p1 added it again and sent it calls.
 
     When 5 seconds pass
     And the owner of z1 is cut from the store
-    And p1 vanishes and 3 seconds pass
+    And the entry of p1 is deleted and 3 seconds pass
     And the owner of z1 reaches the store again
     And 1.2 seconds pass
     And the instance of z1 that owns nothing restarts
@@ -211,7 +212,7 @@
     Then all get 200
     And p1 has run none of them
 
-  Scenario Outline: An instance that reads nothing still learns of a configuration
+  Scenario Outline: An instance that does not read the store receives a new configuration
     When 5 seconds pass
     And <trouble>
     And a route is added and 1.9 seconds pass
@@ -224,14 +225,14 @@
       | the owner of z1 dies                  |
       | the owner of z1 is cut from the store |
 
-  Scenario Outline: A configuration of an outage's eve is known soon behind it
+  Scenario Outline: A configuration written just before an outage is known soon after it
     A read that waits at the store may hang on a connection that died in an outage.
-    It was noticed 3.7 s later: an instance answered 404 for a route of the
-    configuration that had been acknowledged 0.2 s before an outage of 8 s, at
-    29.164 s, 3.2 s behind the store's return.
+    This was noticed 3.7 s later: the configuration was acknowledged 0.2 s before an
+    outage of 8 s, and at 29.164 s, 3.2 s after the store's return, an instance still
+    answered 404 for one of its routes.
 
     When 5 seconds pass
-    And a route is added as the store falls silent for 8 seconds, and <lost> reads get no answer behind it
+    And a route is added as the store goes down for 8 seconds, and <lost> reads get no answer after it
     And 2.8 seconds pass
     And a call of the added route is sent to each instance
     Then all get 200
@@ -241,9 +242,9 @@
       | 0    |
       | 3    |
 
-  Scenario Outline: A path to the store that falls silent is replaced in time
+  Scenario Outline: A connection to the store that hangs is replaced in time
     When <before> seconds pass
-    And reads that wait at the store are forgotten, and a route is added
+    And waiting reads at the store are dropped, and a route is added
     And 2.8 seconds pass
     And a call of the added route is sent to each instance
     Then all get 200
@@ -257,32 +258,32 @@
       | 7      |
       | 7.5    |
 
-  Scenario: A history that is gone is read anew
-    When the store forgets its history while p1 vanishes
+  Scenario: The whole table is read again if its history is gone
+    When the store drops its history while the entry of p1 is deleted
     And 2 seconds pass
     And 20 idempotent calls are sent to a
     Then all get 200
     And p1 has run none of them
 
-  Scenario: A dead owner is followed by another once its lease is over
+  Scenario: Another instance becomes the owner once a dead owner's lease has expired
     When a stream of an adapter is sent to a
     And 1 second passes
     And the owner of z1 dies
     And streams of 8 adapters are sent to the other instance of z1, one each 2 seconds
     Then all get 200
-    And no two instances take turns at ordering an engine
+    And no two instances alternate in sending orders to an engine
     And fencing numbers grow with each new owner
 
-  Scenario: An owner that loses the store gives no order after its lease
+  Scenario: An owner that loses the store sends no order after its lease
     When a stream of an adapter is sent to a
     And 1 second passes
     And the owner of z1 is cut from the store
     And streams of 8 adapters are sent to c, one each 2 seconds
     Then all get 200
-    And no two instances take turns at ordering an engine
+    And no two instances alternate in sending orders to an engine
     And fencing numbers grow with each new owner
 
-  Scenario Outline: Orders without an answer hold up no load for long
+  Scenario Outline: Orders without an answer delay no load for long
     Given the next <orders> orders to each engine get no answer
     When streams of 8 adapters are sent to c, one each 2 seconds
     Then all get 200
@@ -294,11 +295,11 @@
       | 2      |
       | 3      |
 
-  Scenario: A call for which no load comes in time is told when to come back
+  Scenario: A call whose adapter is not loaded in time gets a Retry-After header
     Given engines take 9 seconds to load an adapter
     When a stream of an adapter is sent to a
     Then it gets 503 within 1 seconds
-    And the hint is when to come back
+    And it has a Retry-After header
 
   Scenario: An instance that restarts owns its zone again at once
     When a stream of an adapter is sent to a
@@ -310,7 +311,7 @@
     Then all get 200
     And fencing numbers grow with each new owner
 
-  Scenario: A weak owner gives the lease to an instance whose link bears it
+  Scenario: An owner with a slow link releases the lease to one with a fast link
     When both instances of z1 die
     And 12 seconds pass
     Given an instance d in z1 with a link of 10 Mbit/s
@@ -322,7 +323,7 @@
     When 15 seconds pass
     Then e owns z1
 
-  Scenario: An owner that leaves is followed within eight tenths of a second
+  Scenario: An owner that drains is replaced within 0.8 seconds
     When a stream of an adapter is sent to a
     And 1 second passes
     And the owner of z1 leaves
@@ -330,10 +331,10 @@
     Then z1 has an owner that may give orders
     When streams of 8 adapters are sent to the other instance of z1, one each 2 seconds
     Then all get 200
-    And no two instances take turns at ordering an engine
+    And no two instances alternate in sending orders to an engine
     And fencing numbers grow with each new owner
 
-  Scenario: An owner outside the zone gives the lease back to the zone
+  Scenario: An owner outside the zone releases the lease to the zone
     When both instances of z1 die
     And 12 seconds pass
     Then c owns z1
@@ -343,7 +344,7 @@
     When 15 seconds pass
     Then d owns z1
 
-  Scenario Outline: A zone's lease goes to an instance whose link bears it
+  Scenario Outline: A zone's lease goes to an instance with a fast link
     Given an instance d in z1 with a link of <first> Mbit/s, and e with one of <second>
     When both instances of z1 die
     And 12 seconds pass
@@ -355,31 +356,31 @@
       | 200   | 10     | d     |
       | 10    | 10     | d     |
 
-  Scenario: An instance that can't reach the store is given no lease
+  Scenario: No lease is granted to an instance that can't reach the store
     When both instances of z1 die
     And 12 seconds pass
     Given an instance d that can't reach the store
     When 15 seconds pass
     Then c owns z1
 
-  Scenario: A lease whose write lost its answer is found again
+  Scenario: A lease is kept if the answer to its write is lost
     Given the store loses the next answer to a write
     When 8 seconds pass
     And a stream of an adapter is sent to a
     Then it gets 200 within 0.6 seconds
 
-  Scenario: A leaving instance serves its channels, then ends
-    When a is told to leave
+  Scenario: A draining instance serves its connections, then ends
+    When a starts to drain
     Then a is not ready
     When an idempotent call is sent to a
     Then it gets 200 within 0.1 seconds
     When 4 seconds pass
-    Then a has ended its work
+    Then a has drained
 
-  Scenario: An instance that has left for 3 seconds begins no stream
+  Scenario: An instance that has drained for 3 seconds starts no stream
     When a stream of an adapter is sent to a
     Then it gets 200 within 0.6 seconds
-    When a is told to leave
+    When a starts to drain
     And 2.7 seconds pass
     And a stream of an adapter is sent to a
     Then it gets 200 within 0.1 seconds
@@ -389,7 +390,7 @@
     When an idempotent call is sent to a
     Then it gets 200 within 0.1 seconds
 
-  Scenario: An engine that came without its base model gets it
+  Scenario: An engine without its base model is ordered to load it
     Given an engine e4 in z1 without its base model
     When 3 seconds pass
     Then e4 was ordered to load its base model
--- a/tests/instance/keys.feature
+++ b/tests/instance/keys.feature
@@ -1,17 +1,17 @@
 Feature: Callers are known by their keys, and revoked keys run nowhere
 
-  The operator's configuration names organisations and their keys. The key goes no further
-  than the instance that reads it; endpoints are told the organisation's name alone.
+  The operator's configuration lists organisations and their keys. A key is not forwarded
+  by the instance that reads it; endpoints receive only the organisation's name.
 
   Scenario Outline: <call> with <what>
     Given an installation whose callers have keys, with instances a, b, c
-    When <call> with <what> comes to a
+    When <call> with <what> arrives at a
     Then it is answered <status>
-    And the runner is told <told>
+    And the endpoint receives <received>
     And no message between instances holds a key
 
     Examples:
-      | call         | what                             | status | told                        |
+      | call         | what                             | status | received                    |
       | a call       | the key of red                   | 200    | red                         |
       | a call       | the second key of red            | 200    | red                         |
       | a call       | the key of blue                  | 200    | blue                        |
@@ -27,10 +27,10 @@
       | an open call | no key                           | 200    | no organisation             |
       | an open call | no key and the name blue         | 200    | no organisation             |
 
-  Scenario Outline: A key is found among <count> as among few
+  Scenario Outline: A key is found among <count> keys
     Given a table of <count> keys of <organisations> organisations
     Then the key o1-1 is that of o1
-    And the key o1-x is that of nobody
+    And the key o1-x is that of no organisation
 
     Examples:
       | count | organisations |
@@ -40,7 +40,7 @@
   Scenario Outline: Keys are revoked while <hazard>
     Given an installation whose callers have keys, with instances a, b, c
     When keys are revoked while <hazard>
-    Then no call with a revoked key runs that comes 5 seconds later or more
+    Then no call with a revoked key runs that arrives 5 seconds later or more
     And calls with other keys are served <how>
 
     Examples:
@@ -49,18 +49,18 @@
       | the store is cut off from all                           | no more, but refused as not run |
       | the store is cut off from the owner of z1               | or refused as not run           |
       | the store is cut off from one that owns nothing         | all the time                    |
-      | all instances hear nothing from each other or the store | no more, but refused as not run |
-      | z1 hears nothing from z2 or the store                   | or refused as not run           |
-      | all instances start again                               | all the time                    |
-      | all instances start again behind a cut                  | no more, but refused as not run |
+      | all instances are cut off from each other and the store | no more, but refused as not run |
+      | z1 is cut off from z2 and the store                     | or refused as not run           |
+      | all instances restart                                   | all the time                    |
+      | all instances restart, cut off from the store           | no more, but refused as not run |
       | polls of the store get no answer                        | all the time                    |
       | the owner of z1 is suspended                            | or refused as not run           |
       | one that owns nothing is suspended                      | or refused as not run           |
-      | the store comes back older and lacks it for a while     | or refused as not run           |
-      | the store has come back older just before               | or refused as not run           |
+      | the store is restored from before, and lacks it a while | or refused as not run           |
+      | the store was restored to an older state just before    | or refused as not run           |
 
   Scenario: A key that is revoked while its call waits
     Given an installation whose callers have keys, with instances a, b, c
     When the key of red is revoked while its call waits for an adapter at a
     Then it is answered 401
-    And the runner is told nothing, as it runs nowhere
+    And the endpoint receives nothing, as it runs nowhere
--- a/tests/instance/starvation.feature
+++ b/tests/instance/starvation.feature
@@ -1,4 +1,4 @@
-Feature: No adapter that is asked for again and again is left unserved
+Feature: Every adapter that is requested repeatedly is served
 
   Background:
     Given an installation with instances a and b in zone z1 and c in zone z2
--- a/tests/instance/turned_away.feature
+++ b/tests/instance/turned_away.feature
@@ -1,17 +1,17 @@
-Feature: Instances that reach the store learn in time, also where their aggregators don't
+Feature: Instances that reach the store are up to date, even if their aggregators are not
 
-  The store may turn some instances away and serve the others. Where it turns away all
-  aggregators, each of their subscribers reads for itself; a call must not reach an
-  endpoint later than 2 seconds after its leaving was acknowledged.
+  The store may reject some instances and serve the others. If it rejects all
+  aggregators, each of their subscribers reads the store itself; a call must not reach
+  an endpoint later than 2 seconds after its drain was acknowledged.
 
-  Scenario Outline: <count> instances of a zone while the store turns <away> away
+  Scenario Outline: <count> instances of a zone while the store rejects <rejected>
     Given <count> instances in z1 and one in z2, and plain endpoints in both
-    When the store turns <away> away, and an endpoint leaves <after> seconds later
+    When the store rejects <rejected>, and an endpoint drains <after> seconds later
     Then each other instance knows of it within 2 seconds
     And the store is called at most <calls> times a second
 
     Examples: Each read of the list and of the operator's table is a call
-      | count | away            | after | calls |
+      | count | rejected        | after | calls |
       | 4     | all aggregators | 2     | 20    |
       | 24    | all aggregators | 2     | 60    |
       | 24    | all aggregators | 3     | 60    |
--- a/tests/steps/allowance_steps.py
+++ b/tests/steps/allowance_steps.py
@@ -19,14 +19,14 @@
 
 @given("{count:d} instances in 3 zones that share an allowance {how}")
 def step_fleet(context, count, how):
-    """Keep how many, and the way."""
+    """Record the number of instances and how they share."""
     context.count = count
     context.is_even = how == "evenly"
 
 
 @when("one organisation calls them: {trouble}")
 def step_play(context, trouble):
-    """Play the trouble with each seed."""
+    """Simulate the load with each seed."""
     (found,) = [one for one in TROUBLES if one.name == trouble]
     context.outcomes = [
         play(context.count, found, context.is_even, seed) for seed in SEEDS
@@ -35,65 +35,65 @@
 
 @then("no window of 8 seconds has more than the bound")
 def step_bound(context):
-    """Look at the worst window."""
+    """Check the window with the highest use."""
     worst = [one.worst for one in context.outcomes]
     assert max(worst) <= 1.0, worst
 
 
-@then("at least {part:g} is let in for each amount that one bucket would let in")
-def step_served(context, part):
-    """Look at the mean."""
+@then("at least {fraction:g} is admitted for each amount that one bucket would admit")
+def step_served(context, fraction):
+    """Check the mean of all seeds."""
     served = [one.served for one in context.outcomes]
-    assert sum(served) / len(served) >= part, served
+    assert sum(served) / len(served) >= fraction, served
 
 
-@then("less than half is let in for each amount that one bucket would let in")
-def step_badly(context):
-    """Look at the mean of the other way."""
+@then("less than half is admitted for each amount that one bucket would admit")
+def step_less_than_half(context):
+    """Check the mean of all seeds."""
     served = [one.served for one in context.outcomes]
     assert sum(served) / len(served) < 0.5, served
 
 
-@given("an instance that hears {heard} of an allowance of {rate:g} a second")
-def step_meter(context, heard, rate):
-    """Make its meter, and what it hears."""
+@given("an instance with {updates} on an allowance of {rate:g} a second")
+def step_meter(context, updates, rate):
+    """Create its meter, and record which updates it receives."""
     limits = Limits(0.1, 1280.0, 8.0)
     allowance = Allowance(rate, rate)
     context.meter = Meter(allowance, limits, 0.0)
     context.sharing = DemandSharing()
     context.fleet = FleetUse(limits)
     context.fleet.set_allowances({"red": allowance})
-    context.is_heard = heard == "itself alone"
+    context.has_updates = updates == "its own updates only"
 
 
-@when("calls of {amount:g} come to it, {rate:d} a second for {seconds:d} seconds")
-def step_take(context, amount, rate, seconds):
-    """Take each, and tell four times a second."""
-    context.taken = 0
+@when("it receives calls of {amount:g}, {rate:d} a second for {seconds:d} seconds")
+def step_receive(context, amount, rate, seconds):
+    """Consume the amount for each call, and report four times a second."""
+    context.admitted = 0
     for number in range(rate * seconds):
         now = 1.0 + number / rate
-        if context.is_heard and number % (rate // 4) == 0:
-            _tell(context, now)
+        if context.has_updates and number % (rate // 4) == 0:
+            _report_use(context, now)
         context.sharing.update("red", context.meter, now)
-        context.taken += not context.meter.take(amount, now)
+        context.admitted += not context.meter.take(amount, now)
 
 
-def _tell(context, now):
+def _report_use(context, now):
     use = Use("red", context.meter.spent, context.meter.demand.measure(now))
     context.fleet.note_member("own", 1, [use], now)
     context.fleet.keep_others([], now)
     context.sharing.note_news(context.fleet.describe("own", now), now)
 
 
-@then("{least:d} to {most:d} are let in")
-def step_taken(context, least, most):
-    """Count them."""
-    assert least <= context.taken <= most, context.taken
+@then("{minimum:d} to {maximum:d} are admitted")
+def step_admitted(context, minimum, maximum):
+    """Compare the number of admitted calls."""
+    assert minimum <= context.admitted <= maximum, context.admitted
 
 
 @given("an installation whose callers have allowances of calls")
 def step_installation(context):
-    """Let red have 2 calls a second and 10 beside, and blue enough."""
+    """Allow red 2 calls a second and a burst of 10, and blue enough."""
     context.entries = Entries()
     context.add_cleanup(context.entries.close)
     context.entries.version += 1
@@ -122,7 +122,7 @@
     return meter.spent if meter else 0.0
 
 
-@when("calls of red are refused by all endpoints again and again")
+@when("calls of red are rejected by all endpoints again and again")
 def step_refused(context):
     """Send more calls than the allowance has room for."""
     _set_faults(context, 503, {"not-run": "1"}, 500)
@@ -134,15 +134,15 @@
 
 @then("nothing is used of its allowance")
 def step_nothing(context):
-    """Look at the meter, and that no call was refused for the allowance."""
+    """Check the meter, and that no call was refused for the allowance."""
     codes = {caller.error.code for caller in context.callers}
     assert "over_allowance" not in codes, codes
     assert _measure_used(context) == 0.0, _measure_used(context)
 
 
-@when("{count:d} calls of red come at once")
+@when("{count:d} calls of red arrive at once")
 def step_at_once(context, count):
-    """Send them."""
+    """Send the calls in two bursts."""
     for _ in range(5):
         context.entries.call("a", "/once/1", _RED)
         context.entries.advance(0.3)
@@ -153,9 +153,9 @@
     ]
 
 
-@then("some are answered 429 with the time at which there is room")
+@then("some are answered 429 with the time until a retry")
 def step_over(context):
-    """Look at the refusals."""
+    """Check the refusals."""
     refused = [one for one in context.callers if one.error is not None]
     assert refused
     for one in refused:
@@ -165,15 +165,15 @@
 
 @then("a call of blue is served")
 def step_blue(context):
-    """Send one."""
+    """Send a call of the other organisation."""
     caller = context.entries.call("a", "/once/1", _BLUE)
     context.entries.advance(0.5)
     assert caller.status == 200, caller.error
 
 
-@when("a call of red fails at an endpoint and is sent again")
-def step_sent_again(context):
-    """Let the first run fail, wherever it is."""
+@when("a call of red fails at an endpoint and is retried")
+def step_retried(context):
+    """Let the first run fail, at whichever endpoint it is."""
     fault = [Reply(500, {"server-stamp": "s", "request-id": ""})]
     for name in ("p1", "p2"):
         context.entries.installation.runners[name].faults = fault
@@ -184,13 +184,13 @@
 
 @then("{count:d} are used of its allowance")
 def step_used(context, count):
-    """Look at the meter."""
+    """Check the meter."""
     assert _measure_used(context) == count, _measure_used(context)
 
 
-@given("{count:d} further instances")
-def step_further(context, count):
-    """Start them, and let them settle."""
+@given("{count:d} more instances")
+def step_more_instances(context, count):
+    """Start them, and wait until they share the allowance."""
     for number in range(count):
         context.entries.start(f"d{number}", "z1")
     context.entries.advance(3.0)
@@ -198,7 +198,10 @@
 
 @when("each instance gets {rate:g} calls of red a second for {seconds:g} seconds")
 def step_few(context, rate, seconds):
-    """Call them by turns: red may have 2 calls a second run, and 10 beside."""
+    """Call the instances in turn.
+
+    The allowance of red is 2 calls a second and a burst of 10.
+    """
     context.callers = []
     names = list(context.entries.entries)
     for number in range(int(rate * seconds * len(names))):
@@ -208,8 +211,8 @@
     context.entries.advance(1.0)
 
 
-@then("between {least:d} and {most:d} calls of red are served")
-def step_few_served(context, least, most):
-    """Count them."""
+@then("between {minimum:d} and {maximum:d} calls of red are served")
+def step_few_served(context, minimum, maximum):
+    """Compare the number of served calls."""
     served = sum(caller.status == 200 for caller in context.callers)
-    assert least <= served <= most, (served, len(context.callers))
+    assert minimum <= served <= maximum, (served, len(context.callers))
--- a/tests/steps/instance_steps.py
+++ b/tests/steps/instance_steps.py
@@ -41,17 +41,17 @@
     "refuse thrice": [_REFUSAL],
     "fail once": [Reply(500, {"server-stamp": "s", "request-id": ""})],
     "lose an answer": ["lose"],
-    "answer 503 without a proof": [Reply(503, {"request-id": ""})],
+    "answer 503 without not-run": [Reply(503, {"request-id": ""})],
     "answer 200 without a stamp": [Reply(200, {"request-id": ""})],
-    "are mute": ["mute"],
+    "never answer": ["mute"],
     "cut a stream": ["cut"],
-    "leave a stream silent": ["stall"],
+    "stall a stream": ["stall"],
 }
 
 
 @given("an installation with instances a and b in zone z1 and c in zone z2")
 def step_installation(context):
-    """Make the store and the instances' deployment."""
+    """Create the store and start three instances."""
     context.entries = Entries()
     context.entries.counts_suspension = getattr(context, "counts_suspension", True)
     context.add_cleanup(context.entries.close)
@@ -64,7 +64,7 @@
     "engines e1 and e2 in z1 and e3 in z2, and plain endpoints p1 in z1 and p2 in z2"
 )
 def step_runners(context):
-    """Start the endpoints, and let everything settle."""
+    """Start the endpoints, and wait until all instances know them."""
     installation = context.entries.installation
     for name, zone in (("e1", "z1"), ("e2", "z1"), ("e3", "z2")):
         installation.add_runner("llm", name, zone, BASE)
@@ -79,51 +79,51 @@
     return [one for name, one in runners.items() if name.startswith(letter)]
 
 
-@given("the choice of an endpoint breaks at {name}")
-def step_break_choice(context, name):
-    """Let what chooses raise an error of no kind that is expected."""
+@given("the endpoint selection of {name} raises an error")
+def step_break_selection(context, name):
+    """Raise an unexpected kind of error in the endpoint selection."""
 
     def choose(service, excluded):
-        """Break."""
+        """Raise a KeyError."""
         raise KeyError(service)
 
     context.entries.entries[name].ingress._placing.choose = choose
 
 
-@then("{name} has no call under way")
+@then("{name} has no running call")
 def step_no_call(context, name):
-    """Check that the instance has forgotten all calls."""
+    """Check that the instance has no exchange left."""
     assert not context.entries.entries[name].ingress._exchanges
 
 
 @given("plain endpoints {fault} next")
 def step_plain_fault(context, fault):
-    """Let a call to a plain endpoint go wrong."""
+    """Inject a fault into a call to a plain endpoint."""
     _set_fault(context, "plain endpoints", fault)
 
 
 @given("engines {fault} next")
 def step_engine_fault(context, fault):
-    """Let a call to an engine go wrong."""
+    """Inject a fault into a call to an engine."""
     _set_fault(context, "engines", fault)
 
 
 def _set_fault(context, kind, fault):
-    """Let the first calls at each endpoint go wrong, but once in all."""
+    """Set the faults of the first calls; each fault occurs once in all."""
     runners = _runners(context, kind)
     faults = list(_FAULTS[fault])
     if fault == "refuse thrice":
         runners[0].faults = list(faults)
         runners[1].faults = list(faults)
         return
-    # Whichever endpoint is met first plays the fault.
+    # The endpoint that is called first consumes the fault.
     for runner in runners:
         runner.faults = faults
 
 
 @given("the next {count:d} orders to each engine get no answer")
 def step_lose_orders(context, count):
-    """Lose orders; every second is carried out late."""
+    """Lose orders; every second one is carried out late."""
     for runner in _runners(context, "engines"):
         runner.lost_orders = count
 
@@ -131,40 +131,40 @@
 @given("engines take {seconds:g} seconds to load an adapter")
 @when("engines take {seconds:g} seconds to load an adapter again")
 def step_slow_loads(context, seconds):
-    """Slow the loads down."""
+    """Set the load time of the engines."""
     for runner in _runners(context, "engines"):
         runner.load_time = seconds
 
 
 @then("no engine was ordered over its slots")
 def step_slots(context):
-    """Check that no engine crashed for want of slots."""
+    """Check that no engine crashed for lack of slots."""
     assert not any(runner.crashed for runner in _runners(context, "engines"))
 
 
 @given("nothing special")
 def step_nothing(context):
-    """Leave all as it is."""
+    """Change nothing."""
 
 
 @given("all plain endpoints are gone")
 def step_all_gone(context):
-    """Remove the plain endpoints."""
+    """Delete the entries of the plain endpoints."""
     for name in ("p1", "p2"):
         context.entries.installation.store.delete("servers", name)
     context.entries.advance(1.0)
 
 
-@given("all endpoints refuse for long")
+@given("all endpoints reject many calls")
 def step_refuse(context):
-    """Let every plain endpoint refuse many calls."""
+    """Let every plain endpoint reject many calls."""
     for runner in _runners(context, "plain endpoints"):
         runner.faults = [_REFUSAL] * 50
 
 
 @given("an instance d that can't reach the store")
 def step_cut_instance(context):
-    """Start an instance behind a cut."""
+    """Start an instance that is cut off from the store."""
     installation = context.entries.installation
     entry = context.entries.start("d", "z1")
     installation.cut_from_store.add(entry.dialer)
@@ -175,7 +175,7 @@
     "an instance d in z1 with a link of {first:g} Mbit/s, and e with one of {second:g}"
 )
 def step_links(context, first, second):
-    """Start instances, the first of which is the sooner to take a lease."""
+    """Start two instances, of which the first would acquire a lease sooner."""
     for name, rate in (("d", first), ("e", second)):
         context.entries.start(name, "z1", {"link_mbps": rate})
     context.entries.advance(1.0)
@@ -183,19 +183,19 @@
 
 @given("an instance {name:w} in z1 with a link of {rate:g} Mbit/s")
 def step_link(context, name, rate):
-    """Start an instance."""
+    """Start an instance with a link of the given rate."""
     context.entries.start(name, "z1", {"link_mbps": rate})
 
 
 @given("the store loses the next answer to a write")
 def step_lose(context):
-    """Lose the answer to the next renewal."""
+    """Lose the answer to the next renewal of a lease."""
     context.entries.installation.store.lose_answers = 1
 
 
 @given("an engine e4 in z1 without its base model")
 def step_empty(context):
-    """Add an empty engine."""
+    """Add an engine without a model."""
     context.entries.installation.add_runner("llm", "e4", "z1", "")
 
 
@@ -208,7 +208,7 @@
 
 @when("{call} is sent to the instance of z1 that owns nothing")
 def step_send_other(context, call):
-    """Send a call to the instance that others read for."""
+    """Send a call to the instance that does not read the store itself."""
     _send(context, call, context.other)
 
 
@@ -220,7 +220,7 @@
 
 @when("an idempotent call is sent to a 0.1 seconds later")
 def step_send_later(context):
-    """Let news arrive, then send a call."""
+    """Wait until updates have arrived, then send a call."""
     context.entries.advance(0.1)
     _send(context, "an idempotent call", "a")
 
@@ -233,7 +233,7 @@
 
 @when("20 idempotent calls are sent to the instance of z1 that owns nothing")
 def step_send_many_other(context):
-    """Send calls to the instance that others read for."""
+    """Send calls to the instance that does not read the store itself."""
     _send_many(context, context.other)
 
 
@@ -246,7 +246,7 @@
 
 @when("a call of the added route is sent to each instance")
 def step_send_added_all(context):
-    """Send a call of the added route everywhere."""
+    """Send a call of the added route to every instance."""
     context.first = len(context.entries.callers)
     for name in context.entries.entries:
         _send(context, "a call of the added route", name)
@@ -254,14 +254,14 @@
 
 @when("a route is added and {seconds:g} seconds pass")
 def step_add_route(context, seconds):
-    """Write a further configuration."""
+    """Write another configuration."""
     _add_route(context)
     context.entries.advance(seconds)
 
 
 @when("nothing happens")
-def step_calm(context):
-    """Note which instance of z1 owns nothing, and which calls come later."""
+def step_nothing_happens(context):
+    """Record which instance of z1 owns nothing, and the calls made so far."""
     _note_other(context)
     store = context.entries.entries[context.other].kernel.get(Platform).store
     context.operator_calls = sum(
@@ -272,14 +272,14 @@
 
 
 def _note_other(context):
-    """Keep the instance of z1 that has no lease."""
+    """Record the instance of z1 that has no lease."""
     owner = _find_owner(context, "z1")
     context.other = "b" if owner == "a" else "a"
 
 
 @then("the instance of z1 that owns nothing has called the store once at most since")
-def step_rests(context):
-    """Count its calls of 5 further seconds."""
+def step_few_store_calls(context):
+    """Count its calls to the store over 5 further seconds."""
     _note_other(context)
     entry = context.entries.entries[context.other]
     calls = context.entries.installation.store_calls
@@ -288,9 +288,9 @@
     assert calls[entry.dialer] - before <= 1, calls[entry.dialer] - before
 
 
-@then("the instance of z1 that owns nothing tries to take no lease for 20 seconds")
-def step_no_try(context):
-    """Check that it writes nothing."""
+@then("the instance of z1 that owns nothing does not request a lease for 20 seconds")
+def step_no_lease_write(context):
+    """Check that it writes no row for 20 seconds."""
     store = context.entries.entries[context.other].kernel.get(Platform).store
     before = dict(store.calls)
     context.entries.advance(20.0)
@@ -302,8 +302,8 @@
     assert not any(gained.values()), gained
 
 
-@when("streams of {count:d} adapters are sent to {name}, one each {gap:g} seconds")
-def step_send_adapters(context, count, name, gap):
+@when("streams of {count:d} adapters are sent to {name}, one each {interval:g} seconds")
+def step_send_adapters(context, count, name, interval):
     """Send streams of different adapters."""
     if name == "the other instance of z1":
         name = context.other
@@ -311,12 +311,12 @@
     for index in range(count):
         headers = {**_STREAM, "model": f"{BASE}/y{index}", "deadline-ms": "1900"}
         context.entries.call(name, "/stream/1", headers)
-        context.entries.advance(gap)
+        context.entries.advance(interval)
 
 
-@when("its caller goes away")
+@when("its caller disconnects")
 def step_gone(context):
-    """Tell the exchange that its caller is gone."""
+    """Signal to the exchange that its caller has disconnected."""
     context.entries.advance(0.02)
     context.hub_caller.on_gone()
 
@@ -324,7 +324,7 @@
 @when("{seconds:g} second passes")
 @when("{seconds:g} seconds pass")
 def step_pass_entries(context, seconds):
-    """Move the clock."""
+    """Advance the clock."""
     if "entries" in context:
         context.entries.advance(seconds)
         return
@@ -348,24 +348,24 @@
 
 
 @when("the operator's row shows the old configuration again")
-def step_old(context):
+def step_older_configuration(context):
     """Write a configuration with a lower version."""
     context.entries.version -= 2
     context.entries.configure(ROUTES, SERVICES)
 
 
 def _add_route(context):
-    """Write a further configuration."""
+    """Write a configuration with another route."""
     added = make_route("/added/", "idempotent", "plain")
     context.entries.configure([*ROUTES, added], SERVICES)
 
 
 @when(
-    "a route is added as the store falls silent for {seconds:d} seconds, "
-    "and {count:d} reads get no answer behind it"
+    "a route is added as the store goes down for {seconds:d} seconds, "
+    "and {count:d} reads get no answer after it"
 )
-def step_eve(context, seconds, count):
-    """Take the store away before anybody has read the configuration."""
+def step_add_route_before_outage(context, seconds, count):
+    """Take the store down before any instance has read the configuration."""
     store = context.entries.installation.store
     store.is_down = True
     store.forget_polls()
@@ -375,9 +375,9 @@
     store.lose_polls = count
 
 
-@when("reads that wait at the store are forgotten, and a route is added")
-def step_forget_reads(context):
-    """Let the paths of reads under way fall silent."""
+@when("waiting reads at the store are dropped, and a route is added")
+def step_drop_reads(context):
+    """Drop the reads that wait at the store without an answer."""
     context.entries.installation.store.forget_polls()
     _add_route(context)
 
@@ -392,15 +392,15 @@
     context.entries.advance(seconds)
 
 
-@when("p1 vanishes and {seconds:g} seconds pass")
-def step_vanish(context, seconds):
+@when("the entry of p1 is deleted and {seconds:g} seconds pass")
+def step_delete_entry(context, seconds):
     """Delete the entry of an endpoint."""
     context.entries.installation.store.delete("servers", "p1")
     context.entries.advance(seconds)
 
 
-@when("p1 beats and vanishes, and {seconds:g} seconds pass")
-def step_vanishes(context, seconds):
+@when("p1 renews its entry, the entry is deleted, and {seconds:g} seconds pass")
+def step_renew_and_delete(context, seconds):
     """Write an entry and delete it between two reads."""
     installation = context.entries.installation
     installation.store.put("servers", "p1", installation.runners["p1"].describe())
@@ -408,9 +408,9 @@
     context.entries.advance(seconds)
 
 
-@when("the store is down for 3 seconds and p1 and p2 lapse")
+@when("the store is down for 3 seconds and the entries of p1 and p2 expire")
 def step_outage(context):
-    """Take the store away, and remove entries meanwhile."""
+    """Take the store down, and delete entries in the meantime."""
     store = context.entries.installation.store
     store.is_down = True
     context.entries.advance(3.0)
@@ -420,9 +420,9 @@
     context.entries.advance(1.5)
 
 
-@when("the store forgets its history while p1 vanishes")
-def step_forget(context):
-    """Drop the history."""
+@when("the store drops its history while the entry of p1 is deleted")
+def step_drop_history(context):
+    """Drop the store's history of changes."""
     store = context.entries.installation.store
     store.delete("servers", "p1")
     store.oldest = store.version + 1
@@ -445,7 +445,7 @@
 
 @when("the owner of z1 is cut from the store")
 def step_owner_cut(context):
-    """Cut the owner from the store alone."""
+    """Cut the owner off from the store only."""
     _note_other(context)
     entry = context.entries.entries[_find_owner(context, "z1")]
     context.entries.installation.cut_from_store.add(entry.dialer)
@@ -453,7 +453,7 @@
 
 @when("the owner of z1 reaches the store again")
 def step_owner_healed(context):
-    """End the cut of the only instance that is cut from the store."""
+    """End the cut of the only instance that is cut off from the store."""
     context.entries.installation.cut_from_store.clear()
 
 
@@ -468,14 +468,14 @@
 
 @when("the instance of z1 that owns nothing restarts")
 def step_other_restarts(context):
-    """Kill it, and start the next process of its instance."""
+    """Kill the instance, and start its next process."""
     context.entries.end(context.other)
     context.entries.start(context.other, "z1")
 
 
 @when("the owner of z1 leaves")
 def step_owner_leaves(context):
-    """Tell the owner to leave."""
+    """Let the owner drain."""
     _note_other(context)
     context.entries.entries[_find_owner(context, "z1")].ingress.leave()
 
@@ -489,28 +489,28 @@
 
 @when("an instance d is started in z1")
 def step_start_instance(context):
-    """Start a further instance."""
+    """Start another instance."""
     context.entries.start("d", "z1")
 
 
 @then("{name} owns z1")
 def step_owns(context, name):
-    """Check who has the lease and may give orders."""
+    """Check which instance holds the lease."""
     assert _find_owner(context, "z1") == name, _find_owner(context, "z1")
 
 
 @then("z1 has an owner that may give orders")
 def step_owned(context):
-    """Check that somebody may order."""
+    """Check that some instance may send orders."""
     now = context.entries.installation.clock.now()
     entries = context.entries.entries.values()
     leases = [one.kernel.get(Leases).get("z1") for one in entries]
     assert any(lease.may_order(now) for lease in leases)
 
 
-@when("a is told to leave")
-def step_leave(context):
-    """Begin to leave."""
+@when("a starts to drain")
+def step_drain(context):
+    """Start the drain of an instance."""
     context.entries.entries["a"].ingress.leave()
 
 
@@ -533,7 +533,7 @@
 
 @then("it gets {status:d} within {seconds:g} seconds")
 def step_gets(context, status, seconds):
-    """Check the final answer, and when it came."""
+    """Check the final answer, and when it was received."""
     waited = 0.0
     while not _get_status(context.hub_caller) and waited < seconds:
         context.entries.advance(0.01)
@@ -544,7 +544,7 @@
 
 @then("one endpoint has run it once, as it was sent")
 def step_ran_once(context):
-    """Check the request at the endpoint."""
+    """Check the request that the endpoint received."""
     assert _count_runs(context) == context.runs_before + 1
     number = f"r{len(context.entries.callers)}"
     runs = [
@@ -559,14 +559,14 @@
 
 @then("its body is the events 0, 1 and 2")
 def step_events(context):
-    """Check that each event came once and whole."""
+    """Check that each event was received once and complete."""
     wanted = b"".join(b"id: %d\ndata: t%d\n\n" % (n, n) for n in range(3))
     assert context.hub_caller.body == wanted, context.hub_caller.body
 
 
 @then("its stamp is that of the endpoint")
 def step_stamp(context):
-    """Check the header that proves the answer."""
+    """Check the header that proves that the endpoint ran the call."""
     assert context.hub_caller.headers["server-stamp"].startswith("stamp-e")
 
 
@@ -583,7 +583,7 @@
 
 @then("all get 200")
 def step_all(context):
-    """Check every answer since the last step that sent many."""
+    """Check every answer since the last step that sent several calls."""
     context.entries.advance(2.0)
     found = [_get_status(one) for one in context.entries.callers[context.first :]]
     assert set(found) == {200}, found
@@ -591,7 +591,7 @@
 
 @then("no engine has crashed")
 def step_no_crash(context):
-    """Check that no engine was ordered to hold too much."""
+    """Check that no engine was ordered to hold too many adapters."""
     assert not any(one.crashed for one in _runners(context, "engines"))
 
 
@@ -604,32 +604,32 @@
 
 @then("its answer is cut short")
 def step_cut(context):
-    """Check that a begun answer has no end."""
+    """Check that an answer was begun and cut off."""
     caller = context.hub_caller
     assert caller.started and not caller.is_whole and caller.is_cut
 
 
-@then("the hint is when to come back")
-def step_told(context):
-    """Check the hint for a call that did not run."""
+@then("it has a Retry-After header")
+def step_retry_after(context):
+    """Check the Retry-After header of a call that did not run."""
     assert float(context.hub_caller.error_headers["Retry-After"]) > 0
 
 
-@then("the hint is nothing")
-def step_untold(context):
-    """Check that there is no hint."""
+@then("it has no Retry-After header")
+def step_no_retry_after(context):
+    """Check that there is no Retry-After header."""
     assert "Retry-After" not in context.hub_caller.error_headers
 
 
 @then("{name:w} is not ready")
 def step_not_ready(context, name):
-    """Check what the balancer is told."""
+    """Check what the load balancer is told."""
     assert not context.entries.entries[name].ingress.is_ready
 
 
 @then("the run is cancelled within 0.05 seconds")
 def step_cancelled(context):
-    """Check that the endpoint sees the cancel."""
+    """Check that the endpoint receives the cancellation."""
     context.entries.advance(0.05)
     runners = _runners(context, "plain endpoints")
     assert sum(runner.cancelled for runner in runners) == 1
@@ -645,13 +645,13 @@
 
 @then("the endpoint was given at most 300 ms")
 def step_given(context):
-    """Check the time that was handed on."""
+    """Check the remaining time that the endpoint was given."""
     assert 250 < int(_find_last_run(context)["deadline-ms"]) <= 300
 
 
 @then("the endpoint has seen none of them")
 def step_hidden(context):
-    """Check that the system's own headers were dropped."""
+    """Check that the headers reserved for the system were dropped."""
     run = _find_last_run(context)
     assert not set(run) & set(_OWN), sorted(run)
 
@@ -671,18 +671,19 @@
 
 @then("p1 has run none of them")
 def step_unused(context):
-    """Check that no call went to an endpoint that left."""
+    """Check that no call was sent to an endpoint that drains or is gone."""
     numbers = {f"r{n + 1}" for n in range(context.first, len(context.entries.callers))}
     ran = context.entries.installation.runners["p1"].ran
     assert not [run for run in ran if run["request-id"] in numbers]
 
 
-@then("no two instances take turns at ordering an engine")
-def step_turns(context):
-    """Check each change of holder, and that there was one.
+@then("no two instances alternate in sending orders to an engine")
+def step_no_alternation(context):
+    """Check each change of the holder, and that there was one.
 
-    The orders of two holders are apart by what an order may be on its way,
-    and none orders again within 3 seconds behind which another did.
+    Orders of two holders are separated by the longest time that an order may
+    be in transit, and a holder does not send orders again within 3 seconds
+    after another one did.
     """
     changes = 0
     for orders in _list_orders(context).values():
@@ -699,7 +700,7 @@
 
 @then("fencing numbers grow with each new owner")
 def step_fences(context):
-    """Check that numbers never go down, and none is shared."""
+    """Check that fencing numbers never decrease and none is shared."""
     by_fence = {}
     for orders in _list_orders(context).values():
         fences = [order["fence"] for _, order in orders]
@@ -709,9 +710,9 @@
     assert all(len(holders) == 1 for holders in by_fence.values()), by_fence
 
 
-@then("a has ended its work")
-def step_ended(context):
-    """Check that the way out is at its end."""
+@then("a has drained")
+def step_drained(context):
+    """Check that the drain has ended."""
     assert context.entries.entries["a"].ingress.is_over
 
 
--- a/tests/steps/organisation_steps.py
+++ b/tests/steps/organisation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on organisations, their keys, and the age of what is known of them."""
+"""Steps on organisations, their keys and the age of the configuration."""
 
 import json
 from urllib.parse import parse_qsl
@@ -27,7 +27,7 @@
 _LIMITS = {"revoke_ms": int(REVOKE_LIMIT * 1000)}
 
 
-# The adapter.
+# Platform adapter
 
 
 @then("its key is that of {key}")
@@ -39,7 +39,7 @@
 
 @then("its organisations are {result}")
 def step_organisations(context, result):
-    """Describe what was read."""
+    """Compare a description of the organisations that were read."""
     if isinstance(context.read, RoadliftError):
         assert context.read.code == result, context.read
         assert "key" not in str(context.read) or "first-key" not in str(context.read)
@@ -62,7 +62,7 @@
 
 @when("a configuration with {change} is concealed")
 def step_conceal(context, change):
-    """Hide the keys of a configuration, as before it is passed on."""
+    """Conceal the keys of a configuration, as before it is forwarded."""
     content = describe_configuration(3, [], SERVICES, 2) | make_tenants(change)
     context.plain = StoredRow("config", json.dumps(content).encode(), NOWHERE)
     context.concealed = _ADAPTER.state.conceal(context.plain)
@@ -70,7 +70,7 @@
 
 @then("it holds no key, and is read as the same organisations")
 def step_concealed(context):
-    """Compare what is read of both."""
+    """Compare what is read from both."""
     assert b"first-key" not in context.concealed.value
     read = _ADAPTER.state.read_configuration
     assert read(context.concealed) == read(context.plain)
@@ -78,24 +78,24 @@
 
 
 class _PagedStore:
-    """A store whose answers to reads of pages a test gives one by one."""
+    """A store whose answers to reads of pages are given by the test."""
 
     def __init__(self):
         self.lines = []
 
     def open(self, address, request, receiver, timeout):
-        """Keep a call."""
+        """Record a request."""
         _, _, query = request.path.partition("?")
         self.lines.append((dict(parse_qsl(query)), receiver))
         return self
 
     def close(self):
-        """Do nothing."""
+        """Nothing to close."""
 
 
 @given("a table of 3 rows that is read in pages of 2")
 def step_pages(context):
-    """Begin to read it."""
+    """Start to read the table."""
     context.entries = Entries()
     context.add_cleanup(context.entries.close)
     entry = context.entries.start("a", "z1")
@@ -134,18 +134,18 @@
 
 @then("the table is as of the version and the time before the first page")
 def step_first_page(context):
-    """Look at what was passed on."""
+    """Check the rows, and the position and time that they are as of."""
     (rows,) = context.taken
     assert [row.key for row in rows.rows] == ["a", "b", "c"], rows
     assert (rows.position.version, rows.time.asked_at) == (10, context.began_at), rows
 
 
-# Look-ups.
+# Key look-ups
 
 
 @given("a table of {count:d} keys of {organisations:d} organisations")
 def step_table(context, count, organisations):
-    """Make a table."""
+    """Create a table of keys."""
     names = [f"o{number}" for number in range(organisations)]
     found = [
         _ADAPTER.state.read_configuration(
@@ -169,17 +169,17 @@
 def step_look_up(context, key, name):
     """Look a key up by its digest."""
     found = context.key_table.find(digest_key(key))
-    assert (found.name if found else "nobody") == name, found
+    assert (found.name if found else "no organisation") == name, found
 
 
-# Instances.
+# Instances
 
 
 @given("an installation whose callers have keys, with instances {names}")
 def step_keyed(context, names):
-    """Start instances in zones z1 and z2 by turns, and let them settle.
+    """Start the instances, and wait until they know the endpoints.
 
-    The first two are in z1: one of them hears the other.
+    The first two are in z1: one of them receives updates from the other.
     """
     context.entries = Entries()
     context.add_cleanup(context.entries.close)
@@ -226,16 +226,16 @@
 _TARGETS = {"a call": "/idem/1", "an open call": "/open/1", "a stream": "/stream/1"}
 
 
-@when("{call} with {what} comes to {name:w}")
+@when("{call} with {what} arrives at {name:w}")
 def step_call(context, call, what, name):
-    """Send a call, and let it end."""
+    """Send a call, and wait until it has ended."""
     context.hub_caller = context.entries.call(name, _TARGETS[call], _HEADERS[what])
     context.entries.advance(0.5)
 
 
 @then("it is answered {status:d}")
 def step_status(context, status):
-    """Compare the status, of an answer or of our own error."""
+    """Compare the status of an answer or of the system's own error."""
     caller = context.hub_caller
     found = caller.error.status if caller.error else caller.status
     assert found == status, (found, caller.error)
@@ -245,15 +245,15 @@
         assert float(caller.error_headers["Retry-After"]) > 0
 
 
-@then("the runner is told {told}")
-def step_told(context, told):
-    """Look at the headers of the only run, if there was one."""
+@then("the endpoint receives {received}")
+def step_received(context, received):
+    """Check the headers of the only run, if there was one."""
     runs = _list_runs(context)
-    if told == "nothing, as it runs nowhere":
+    if received == "nothing, as it runs nowhere":
         assert not runs, runs
         return
     (run,) = runs
-    expected = None if told == "no organisation" else told
+    expected = None if received == "no organisation" else received
     assert run.get("tenant-name") == expected, run
     assert not any("key" in text for text in run.values()), run
 
@@ -265,7 +265,7 @@
 
 @then("no message between instances holds a key")
 def step_no_key(context):
-    """Look for the keys in all that instances passed on of the rows."""
+    """Check the rows of the operator that the instances forward."""
     for entry in context.entries.entries.values():
         rows = entry.kernel.get(Follower).operator_rows.list_since(NOWHERE)
         assert rows
@@ -280,13 +280,13 @@
     return unpack_row(list(row)).value or b""
 
 
-# Revocations.
+# Revocations
 
 
 class _Calls:
-    """Calls with a key that come to every instance each tenth of a second."""
+    """Calls with a key, sent to every instance each tenth of a second."""
 
-    PERIOD = 0.1
+    INTERVAL = 0.1
 
     def __init__(self, entries, key):
         self._entries = entries
@@ -306,10 +306,10 @@
                 self._entries.installation.clock.now(),
                 caller,
             )
-        self._entries.installation.timeline.call_later(self.PERIOD, self._send)
+        self._entries.installation.timeline.call_later(self.INTERVAL, self._send)
 
     def count(self, after, before=float("inf")):
-        """Return how many of the calls sent in a span ended by status."""
+        """Return how many calls sent in a period ended with each status."""
         found = {}
         for at, caller in self.sent_at.values():
             if after <= at < before:
@@ -350,20 +350,20 @@
         _cut_store(context, [owner])
     elif hazard == "the store is cut off from one that owns nothing":
         _cut_store(context, [other])
-    elif hazard == "all instances hear nothing from each other or the store":
+    elif hazard == "all instances are cut off from each other and the store":
         _cut_store(context, everyone)
         entries.is_cut = True
-    elif hazard == "z1 hears nothing from z2 or the store":
+    elif hazard == "z1 is cut off from z2 and the store":
         _cut_store(context, ["a", "b"])
         entries.is_zone_cut = True
-    elif hazard == "all instances start again":
+    elif hazard == "all instances restart":
         _restart(context, everyone, False)
-    elif hazard == "all instances start again behind a cut":
+    elif hazard == "all instances restart, cut off from the store":
         _restart(context, everyone, True)
-    elif hazard == "the store has come back older just before":
+    elif hazard == "the store was restored to an older state just before":
         _configure(context)
         entries.advance(1.0)
-        _go_back(context, 0.2)
+        _restore_older_state(context, 0.2)
     elif hazard == "polls of the store get no answer":
         entries.installation.store.lose_polls = 4
     return {
@@ -372,8 +372,8 @@
     }.get(hazard)
 
 
-def _go_back(context, away=1.0):
-    """Let the store come back older; who asked it gets no answer."""
+def _restore_older_state(context, away=1.0):
+    """Restore the store to an older state; requests get no answer."""
     entries = context.entries
     store = entries.installation.store
     store.is_down = True
@@ -385,7 +385,7 @@
 
 @when("keys are revoked while {hazard}")
 def step_revoke(context, hazard):
-    """Take red's first key away as the hazard begins, and go on."""
+    """Revoke red's first key when the hazard begins, and continue."""
     context.calls = _Calls(context.entries, "red-key")
     context.kept = _Calls(context.entries, "blue-key")
     context.entries.advance(1.0)
@@ -394,10 +394,10 @@
     context.tenants = [make_tenant("red", ["red-other"]), *context.tenants[1:]]
     _configure(context)
     context.revoked_at = context.entries.installation.clock.now()
-    if hazard == "the store comes back older and lacks it for a while":
-        _go_back(context)
-    elif hazard == "the store has come back older just before":
-        # Its versions pass all that was read before.
+    if hazard == "the store is restored from before, and lacks it a while":
+        _restore_older_state(context)
+    elif hazard == "the store was restored to an older state just before":
+        # Its versions exceed all that were read before.
         context.entries.installation.store.pass_versions(1000)
     if suspended:
         context.entries.suspend(suspended, 6.0)
@@ -408,9 +408,9 @@
     context.entries.advance(1.0)
 
 
-@then("no call with a revoked key runs that comes 5 seconds later or more")
+@then("no call with a revoked key runs that arrives 5 seconds later or more")
 def step_no_late_run(context):
-    """Look at the runs."""
+    """Check the runs of calls sent after the limit."""
     late = []
     for run in _list_runs(context):
         call_id = run["request-id"]
@@ -423,7 +423,7 @@
 
 @then("calls with other keys are served {how}")
 def step_others(context, how):
-    """Look at the calls of blue: sent before, and from 6 s on."""
+    """Check the calls of blue that were sent before, and from 6 s on."""
     before = context.kept.count(0.0, context.revoked_at - 0.2)
     assert set(before) == {200}, before
     late = context.kept.count(context.revoked_at + 6.0)
@@ -438,7 +438,7 @@
 
 @when("the key of red is revoked while its call waits for an adapter at {name:w}")
 def step_revoke_waiting(context, name):
-    """Send a call for an adapter that nobody holds, and revoke its key."""
+    """Send a call for an adapter that no engine holds; revoke its key."""
     headers = {
         **_HEADERS["the key of red"],
         "model": "base/x",
--- a/tests/steps/turned_away_steps.py
+++ b/tests/steps/turned_away_steps.py
@@ -1,4 +1,4 @@
-"""Steps on instances that the store turns away."""
+"""Steps on instances whose requests the store rejects."""
 
 from behave import given, then, when
 
@@ -7,12 +7,12 @@
 from tests.support.configuration import ROUTES, SERVICES
 from tests.support.entries import Entries
 
-LOOK = 0.05  # Seconds between looks at what instances know.
+CHECK_INTERVAL = 0.05  # Seconds between checks of what instances know.
 
 
 @given("{count:d} instances in z1 and one in z2, and plain endpoints in both")
 def step_many(context, count):
-    """Start them, and let them settle."""
+    """Start them, and wait until they know the endpoints."""
     context.entries = Entries()
     context.add_cleanup(context.entries.close)
     context.entries.configure(ROUTES, SERVICES)
@@ -24,29 +24,30 @@
     context.entries.advance(6.0)
 
 
-@when("the store turns {away} away, and an endpoint leaves {seconds:g} seconds later")
-def step_away(context, away, seconds):
-    """Cut instances from the store, and let an endpoint drain."""
+@when("the store rejects {rejected}, and an endpoint drains {seconds:g} seconds later")
+def step_reject(context, rejected, seconds):
+    """Cut instances off from the store, and let an endpoint drain."""
     entries = context.entries.entries
     owners = {
         name for name, one in entries.items() if one.kernel.get(Leases).list_held()
     }
     assert owners, "no instance owns a zone"
-    cut = owners if away == "all aggregators" else set(entries)
+    cut = owners if rejected == "all aggregators" else set(entries)
     installation = context.entries.installation
     installation.cut_from_store.update(entries[name].dialer for name in cut)
     context.entries.advance(seconds)
     before = installation.store.calls + sum(installation.store_calls.values())
     runner = installation.runners["p1"]
     installation.store.put("servers", "p1", runner.describe("draining"))
-    context.left = {name for name in entries if name not in cut}
+    context.others = {name for name in entries if name not in cut}
     context.late = {}
     context.began = installation.clock.now()
     while installation.clock.now() - context.began < 2.0:
-        context.entries.advance(LOOK)
-    context.unaware = {name for name in context.left if not _knows(context, name)}
+        context.entries.advance(CHECK_INTERVAL)
+    context.unaware = {name for name in context.others if not _knows(context, name)}
     calls = installation.store.calls + sum(installation.store_calls.values()) - before
-    context.rate = calls / 2 / 2.0  # Each is counted by the store and by its caller.
+    # Each is counted by the store and by its caller.
+    context.rate = calls / 2 / 2.0
 
 
 def _knows(context, name):
@@ -57,11 +58,11 @@
 
 @then("each other instance knows of it within 2 seconds")
 def step_known(context):
-    """Look for those that don't."""
+    """Check that no instance is unaware of it."""
     assert not context.unaware, (len(context.unaware), sorted(context.unaware)[:5])
 
 
 @then("the store is called at most {calls:d} times a second")
 def step_calls(context, calls):
-    """Compare the calls of the last seconds."""
+    """Check the rate of the calls in the last seconds."""
     assert context.rate <= calls, context.rate
--- a/tests/steps/usage_steps.py
+++ b/tests/steps/usage_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what owners know of running calls."""
+"""Steps on the running calls that owners know of."""
 
 from behave import given, then, when
 
@@ -9,7 +9,7 @@
 
 @given("engines generate for {seconds:g} seconds")
 def step_generate(context, seconds):
-    """Let each stream have as many events as take so long."""
+    """Give each stream the number of events that takes this time."""
     for runner in context.entries.installation.runners.values():
         runner.events = int(seconds / EVENT_GAP)
 
@@ -28,7 +28,7 @@
 
 @when("messages between instances are lost for {seconds:d} seconds")
 def step_lose(context, seconds):
-    """Let no message arrive at another instance for a while."""
+    """Drop all messages between instances for a while."""
     context.entries.is_cut = True
     context.entries.advance(seconds)
     context.entries.is_cut = False
@@ -36,7 +36,7 @@
 
 @then("owners count {count:d} running calls")
 def step_count(context, count):
-    """Add up what the owners think runs at their engines."""
+    """Add up the running calls that the owners count at their engines."""
     found = sum(
         engine.book.usage.count_running()
         for entry in context.entries.entries.values()
