--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -7,8 +7,8 @@
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.placement import Option
 from roadlift.instance.measures import Measures
+from roadlift.instance.pendingloads import Waiter
 from roadlift.instance.placing import Placing
-from roadlift.instance.waiting import Waiter
 from roadlift.serving.calls import Call
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.routes import Route
--- a/roadlift/instance/waiting.py
+++ b/roadlift/instance/pendingloads.py
@@ -15,8 +15,8 @@
     objective, and ``until`` the time by which it must start for the call to be
     served at all. ``hold`` is the number of seconds for which the call will
     occupy an adapter slot, and ``tokens`` the length of its prompt. The caller
-    disconnects at ``leaves_at``; ``on_hopeless`` is called with the number of
-    seconds after that at which the call would be served at best.
+    disconnects at ``disconnects_at``; ``on_too_late`` is called with the
+    number of seconds after that at which the call would be served at best.
     """
 
     def __init__(
@@ -29,9 +29,9 @@
         hold: float,
         tokens: int,
         on_ready: Callable[[], None],
-        on_ask: Callable[[Endpoint], None],
-        leaves_at: float,
-        on_hopeless: Callable[[float], None],
+        on_request: Callable[[Endpoint], None],
+        disconnects_at: float,
+        on_too_late: Callable[[float], None],
     ) -> None:
         self.service = service
         self.model = model
@@ -41,9 +41,9 @@
         self.hold = hold
         self.tokens = tokens
         self.on_ready = on_ready
-        self.on_ask = on_ask
-        self.leaves_at = leaves_at
-        self.on_hopeless = on_hopeless
+        self.on_request = on_request
+        self.disconnects_at = disconnects_at
+        self.on_too_late = on_too_late
         self.is_open = True
         self._on_release: Callable[[], None] | None = None
 
@@ -64,23 +64,23 @@
         self.release()
 
 
-class Wish:
+class PendingLoad:
     """The calls that wait for one adapter, and the engine to load it.
 
-    ``first_asked_at`` is the time of the first request to that engine, and
-    ``asked_at`` the time of the last one.
+    ``first_requested_at`` is the time of the first request to that engine, and
+    ``requested_at`` the time of the last one.
     """
 
     def __init__(self, now: float) -> None:
         self.began_at = now
         self.waiters: list[Waiter] = []
-        self.first_asked_at = now
-        self.asked_at = float("-inf")
+        self.first_requested_at = now
+        self.requested_at = float("-inf")
         self.endpoint = ""
         self.engine: Engine | None = None
         self.denied: dict[str, float] = {}
 
-    def measure_urgency(self, now: float) -> Urgency:
+    def compute_urgency(self, now: float) -> Urgency:
         """Return the urgency of the load for the calls that wait."""
         open_waiters = [waiter for waiter in self.waiters if waiter.is_open]
         priority = min((waiter.priority for waiter in open_waiters), default=0)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -15,10 +15,10 @@
 from roadlift.instance.follower import Follower
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.limits import EndpointLimits
+from roadlift.instance.pendingloads import PendingLoad, Waiter
 from roadlift.instance.serviceloads import ServiceLoads
 from roadlift.instance.standings import Standings
 from roadlift.instance.subscription import Subscription
-from roadlift.instance.waiting import Waiter, Wish
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.messages import Ask, Denial
@@ -81,7 +81,7 @@
         self._preferred_endpoints = Homes()
         self._load_waits = LoadWaits()
         self._workload = self._knowledge.workload
-        self._pending_loads: dict[tuple[str, Model], Wish] = {}
+        self._pending_loads: dict[tuple[str, Model], PendingLoad] = {}
         self._timers: list = []
         self.health = self._knowledge.health
         self.paces = Paces()
@@ -379,9 +379,9 @@
         pending = self._pending_loads.get(key)
         now = self._kernel.clock.now()
         if pending is None:
-            pending = self._pending_loads[key] = Wish(now)
+            pending = self._pending_loads[key] = PendingLoad(now)
         pending.waiters.append(waiter)
-        if now - pending.asked_at >= ASK_PERIOD:
+        if now - pending.requested_at >= ASK_PERIOD:
             self._request_load(key, pending, option.engine)
         else:
             self._commit(waiter, pending.engine.endpoint)
@@ -410,22 +410,24 @@
     # Load requests
 
     def _request_load(
-        self, key: tuple[str, Model], pending: Wish, engine: Engine
+        self, key: tuple[str, Model], pending: PendingLoad, engine: Engine
     ) -> None:
         _, model = key
         endpoint = engine.endpoint
-        pending.asked_at = pending.first_asked_at = self._kernel.clock.now()
+        pending.requested_at = pending.first_requested_at = self._kernel.clock.now()
         pending.endpoint = endpoint.id
         pending.denied.pop(endpoint.id, None)
         pending.engine = engine
-        self._send_request(endpoint, model, pending.measure_urgency(pending.asked_at))
+        self._send_request(
+            endpoint, model, pending.compute_urgency(pending.requested_at)
+        )
         self._workload.take_place(endpoint.id)
         for waiter in pending.waiters:
             self._commit(waiter, endpoint)
-            waiter.on_ask(endpoint)
+            waiter.on_request(endpoint)
 
     def _repeat_request(
-        self, key: tuple[str, Model], pending: Wish, now: float
+        self, key: tuple[str, Model], pending: PendingLoad, now: float
     ) -> None:
         """Repeat the request at the engine's owner, or request another engine.
 
@@ -440,13 +442,13 @@
             endpoint.zone
         )
         if is_listed and is_owner_alive:
-            pending.asked_at = now
-            self._send_request(endpoint, key[1], pending.measure_urgency(now))
+            pending.requested_at = now
+            self._send_request(endpoint, key[1], pending.compute_urgency(now))
         else:
             pending.denied[endpoint.id] = now
             self._request_elsewhere(key, pending)
 
-    def _request_elsewhere(self, key: tuple[str, Model], pending: Wish) -> None:
+    def _request_elsewhere(self, key: tuple[str, Model], pending: PendingLoad) -> None:
         """Request an adapter at the engine that is the best choice now."""
         service, model = key
         now = self._kernel.clock.now()
@@ -460,9 +462,9 @@
         if option is None:
             return
         for waiter in pending.waiters:
-            lateness = now + option.expected - waiter.leaves_at
+            lateness = now + option.expected - waiter.disconnects_at
             if lateness > 0 and waiter.is_open:
-                waiter.on_hopeless(lateness)
+                waiter.on_too_late(lateness)
         pending.waiters = [one for one in pending.waiters if one.is_open]
         if not pending.waiters:
             self._pending_loads.pop(key, None)
@@ -500,7 +502,7 @@
                 del self._pending_loads[key]
             elif pending.endpoint in pending.denied:
                 self._request_elsewhere(key, pending)
-            elif now - pending.asked_at >= ASK_PERIOD:
+            elif now - pending.requested_at >= ASK_PERIOD:
                 self._repeat_request(key, pending, now)
 
     def _notify_waiters(self, model: Model, endpoint: str) -> None:
@@ -525,14 +527,14 @@
         if pending is not None:
             self._record_load_time(pending)
 
-    def _record_load_time(self, pending: Wish) -> None:
+    def _record_load_time(self, pending: PendingLoad) -> None:
         """Update the load time estimate by a completed or abandoned load."""
         now = self._kernel.clock.now()
         if pending.engine is None:
             return
         queue = pending.engine.queue
         if pending.engine.places > 0:
-            waited = max(0.0, now - pending.first_asked_at - queue)
+            waited = max(0.0, now - pending.first_requested_at - queue)
             self._load_waits.note(pending.engine.source, waited, now)
             return
         load = self._load_waits.estimate(pending.engine.source, now)
