--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -8,7 +8,7 @@
 from roadlift.decisions.placement import Option
 from roadlift.instance.measures import Measures
 from roadlift.instance.pendingloads import Waiter
-from roadlift.instance.placing import Placing
+from roadlift.instance.placement import Placement
 from roadlift.serving.calls import Call
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.routes import Route
@@ -48,7 +48,7 @@
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
-        self._placing = kernel.get(Placing)
+        self._placement = kernel.get(Placement)
         self._measures = kernel.get(Measures)
         self._call = call
         self._route = route
@@ -71,15 +71,16 @@
             self._refuse_too_late(option.expected - caller_wait)
             return
         now = self._began_at = self._clock.now()
-        reading_time = self._placing.estimate_reading(option, self._call)
-        time_to_first_event = self._placing.estimate_load(option) + reading_time
+        reading_time = self._placement.estimate_reading_time(option, self._call)
+        time_to_first_event = self._placement.estimate_load_time(option) + reading_time
         self._waiter = Waiter(
             self._service,
             self._call.model,
             self._route.priority,
             self._call_began_at + self._route.objective - time_to_first_event,
             now + caller_wait - time_to_first_event,
-            time_to_first_event + self._placing.generations.estimate(self._route.name),
+            time_to_first_event
+            + self._placement.generations.estimate(self._route.name),
             self._call.tokens_in,
             self._on_loaded,
             self._on_requested,
@@ -100,7 +101,7 @@
             ahead=option.engine.ahead,
             places=option.engine.places,
         )
-        self._placing.await_load(self._waiter, option)
+        self._placement.await_load(self._waiter, option)
 
     def close(self) -> None:
         """Cancel the wait."""
@@ -130,7 +131,7 @@
         if self._waiter is None:
             return
         self._count("overdue")
-        self._placing.note_overdue(self._waiter)
+        self._placement.record_overdue(self._waiter)
         text = f"{self._call.model} was not loaded in time"
         self._callbacks.on_refused(NoEndpoint(text, COME_BACK))
 
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -29,7 +29,7 @@
 from roadlift.instance.follower import Follower
 from roadlift.instance.gate import Gate, Passage
 from roadlift.instance.knowledge import OWNER_RETURN, Knowledge
-from roadlift.instance.placing import Placing
+from roadlift.instance.placement import Placement
 from roadlift.instance.platform import Platform
 from roadlift.instance.progress import Progress
 from roadlift.relay.caller import Caller
@@ -80,7 +80,7 @@
         self._kernel = kernel
         self._ingress = ingress
         self._caller = caller
-        self._placing = kernel.get(Placing)
+        self._placement = kernel.get(Placement)
         self._knowledge = kernel.get(Knowledge)
         self._follower = kernel.get(Follower)
         self._crashes = kernel.get(CrashWatch)
@@ -200,7 +200,7 @@
         """Send a call of a plain service; return False without an endpoint."""
         if self._refuse_if_full():
             return True
-        endpoint = self._placing.choose(
+        endpoint = self._placement.choose_endpoint(
             self._service, self._excluded | self._gate.denied
         )
         if endpoint is not None:
@@ -213,7 +213,7 @@
         Return False if there is no engine for it.
         """
         excluded = self._excluded | self._gate.denied
-        option = self._placing.choose_engine(self._service, self.call, excluded)
+        option = self._placement.choose_engine(self._service, self.call, excluded)
         if option is None:
             return False
         if option.engine.source is Source.HELD:
@@ -234,7 +234,7 @@
             return
         now = self._kernel.clock.now()
         model = self.call.model
-        is_servable = self._placing.is_known(self._service)
+        is_servable = self._placement.has_endpoints(self._service)
         if is_servable and self._excluded and not self._is_second_round:
             # Each endpoint has rejected the call once; all are tried once
             # more.
@@ -302,7 +302,9 @@
         if self._is_admitted:
             return False
         self._is_admitted = True
-        retry_delay = self._placing.refuse(self._service, self.route.objective)
+        retry_delay = self._placement.check_admission(
+            self._service, self.route.objective
+        )
         if retry_delay is not None:
             self._fail(NoEndpoint(f"service {self._service} is full", retry_delay))
         return retry_delay is not None
@@ -333,7 +335,7 @@
         version = None
         if self.call.model is not None and self.call.model.adapter:
             version = self._follower.find_version(self.call.model) or None
-        self._tokens_ahead = self._placing.count_ahead(endpoint.id)
+        self._tokens_ahead = self._placement.count_ahead(endpoint.id)
         guard = Guard(
             self._deadline - now,
             self._choose_priority(endpoint, now),
@@ -346,7 +348,7 @@
         self._sends += 1
         self._authorization.begin()
         self._sent_at = now
-        running = self._placing.count_running(endpoint.id)
+        running = self._placement.count_running(endpoint.id)
         self._record_step(
             "send",
             endpoint=endpoint.id,
@@ -359,11 +361,13 @@
         self._verdict = None
         self._chunks_received = 0
         self._buffer.clear()
-        self._placing.begin(endpoint, self.call)
+        self._placement.begin(endpoint, self.call)
         self._holds_trial_slot = self._crashes.begin(self._identify)
         self._is_prompt_unread = True
         if self.call.model is not None:
-            self._placing.silence.begin(endpoint.id, self, self._on_unresponsive, now)
+            self._placement.inactivity.begin(
+                endpoint.id, self, self._on_unresponsive, now
+            )
         self._line = self._kernel.dialer.open(
             endpoint.address, request, self, SILENCE_LIMIT
         )
@@ -387,7 +391,7 @@
         priority = self.route.priority
         if self.call.model is None or self._progress.writes:
             return priority
-        seconds_per_token = self._placing.reading_times.estimate(endpoint.id, now)
+        seconds_per_token = self._placement.reading_times.estimate(endpoint.id, now)
         expected = seconds_per_token * (self._tokens_ahead + self.call.tokens_in)
         is_late = now + expected - self._began_at > self.route.objective
         return priority + LATE_STEP if is_late else priority
@@ -408,10 +412,10 @@
             self._end_send()
 
     def _end_send(self) -> None:
-        self._placing.silence.end(self._endpoint.id, self)
+        self._placement.inactivity.end(self._endpoint.id, self)
         self._record_prompt_read()
         has_run = self._verdict in (Verdict.SUCCEEDED, Verdict.FAILED)
-        self._placing.end(self._endpoint, self.call, has_run)
+        self._placement.end(self._endpoint, self.call, has_run)
         self._release_trial_slot()
 
     def _release_trial_slot(self) -> None:
@@ -427,14 +431,14 @@
         """Stop counting the prompt as unread, once for each send."""
         if self._is_prompt_unread:
             self._is_prompt_unread = False
-            self._placing.note_read(self._endpoint, self.call)
+            self._placement.end_reading(self._endpoint, self.call)
 
     def _record_event(self, now: float) -> None:
         """Update the state of the engine by an event of a stream."""
         if self._is_prompt_unread:
             self._record_reading_time()
             self._record_prompt_read()
-        self._placing.silence.note_event(self._endpoint.id, self, now)
+        self._placement.inactivity.note_event(self._endpoint.id, self, now)
 
     def _on_unresponsive(self) -> None:
         """Abandon an unresponsive engine if the call may run again."""
@@ -451,7 +455,7 @@
     def _record_reading_time(self) -> None:
         """Update the engine's reading speed by the time of the first event."""
         now = self._kernel.clock.now()
-        self._placing.reading_times.note(
+        self._placement.reading_times.note(
             self._endpoint.id,
             self._tokens_ahead + self.call.tokens_in,
             now - self._sent_at,
@@ -462,7 +466,7 @@
 
     def receive_head(self, status: int, headers: dict[str, str]) -> None:
         """Classify an answer's head, and forward the head of a stream."""
-        self._placing.health.note_answer(self._endpoint.id)
+        self._placement.health.note_answer(self._endpoint.id)
         self._verdict = self._format.judge(status, headers)
         has_run = self._verdict is Verdict.SUCCEEDED
         self._gate.note_head(self._endpoint, status, headers, has_run)
@@ -521,14 +525,14 @@
     def _record_served(self, endpoint: Endpoint) -> None:
         now = self._kernel.clock.now()
         self._ledger.clear(self._identify)
-        self._placing.health.note_success(endpoint.id, now)
+        self._placement.health.note_success(endpoint.id, now)
         if self._frames is None:
-            self._placing.paces.note(endpoint.id, now - self._sent_at, now)
+            self._placement.speeds.note(endpoint.id, now - self._sent_at, now)
         elif self._progress.writes > 1:
             seconds = self._progress.generation
             intervals = self._progress.writes - 1
-            self._placing.generations.note(self.route.name, seconds)
-            self._placing.paces.note(endpoint.id, seconds / intervals, now)
+            self._placement.generations.note(self.route.name, seconds)
+            self._placement.speeds.note(endpoint.id, seconds / intervals, now)
 
     def receive_error(self, error: RoadliftError) -> None:
         """Send the call again, or end the answer with the error."""
@@ -589,7 +593,7 @@
         """Send elsewhere: the endpoint was restarted or lacks the adapter."""
         model = self.call.model
         if model is not None and model.adapter:
-            self._placing.note_missing(endpoint.id, model)
+            self._placement.report_missing(endpoint.id, model)
         self._on_failure(RefusedByEndpoint(f"{endpoint.id}: misdirected"), False)
 
     def _on_failure(self, error: RoadliftError, is_excluded: bool = True) -> None:
@@ -600,7 +604,7 @@
         endpoint = self._endpoint
         if isinstance(error, EndpointUnreachable):
             self._excluded.add(endpoint.id)
-            self._placing.health.note_absence(endpoint.id, now)
+            self._placement.health.note_absence(endpoint.id, now)
         elif is_excluded:
             self._excluded.add(endpoint.id)
             self._record_failure(endpoint, error, now)
@@ -644,7 +648,7 @@
         """
         if self._gate.is_resting(endpoint):
             return
-        if self._placing.health.note_failure(endpoint.id, now):
+        if self._placement.health.note_failure(endpoint.id, now):
             self._ingress.measures.count("roadlift_ejections", self._service)
             log.event("endpoint_ejected", endpoint=endpoint.id, error=str(error))
 
@@ -686,7 +690,7 @@
     def _has_spare_slot(self) -> bool:
         """Return whether a retry takes no slot from a call's first send."""
         is_plain = self.call.model is None
-        return not is_plain or self._placing.has_spare_room(self._service)
+        return not is_plain or self._placement.has_spare_slots(self._service)
 
     def _fail(self, error: RoadliftError) -> None:
         """Answer the caller with an error, or end the answer that has begun.
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -15,7 +15,7 @@
 from roadlift.instance.adapterwait import COME_BACK
 from roadlift.instance.limits import Answered, EndpointLimits
 from roadlift.instance.permits import Outcome, Permits, SendWait
-from roadlift.instance.placing import Placing, Rest
+from roadlift.instance.placement import Backoff, Placement
 from roadlift.instance.standings import Standings
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
@@ -52,7 +52,7 @@
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
-        self._placing = kernel.get(Placing)
+        self._placement = kernel.get(Placement)
         self._limits = kernel.get(EndpointLimits)
         self._permits = kernel.get(Permits)
         self._standings = kernel.get(Standings)
@@ -99,7 +99,7 @@
 
     def _on_granted(self, endpoint: Endpoint, basis: Basis) -> None:
         self._permit_wait = None
-        if self._placing.holds(endpoint, self._call.model):
+        if self._placement.accepts(endpoint, self._call.model):
             self._callbacks.on_open(endpoint, basis)
             return
         # The permit is discarded: it would expire before another call used it.
@@ -120,25 +120,25 @@
         The caller is told to retry when a send may be available, with jitter
         by its ``draw`` from 0 to 1.
         """
-        wait = self._placing.measure_limit_wait(self._service, self.denied)
+        wait = self._placement.compute_limit_wait(self._service, self.denied)
         if wait is None:
             return None
         delay = max(COME_BACK, wait) * (1.0 + draw)
         return LimitReached(f"service {self._service}", delay)
 
-    def find_rest(self, model: Model | None) -> Rest | None:
+    def find_rest(self, model: Model | None) -> Backoff | None:
         """Return the backoff that ends first if all back off, or None.
 
         With a ``model``, only the endpoints that hold it count.
         """
-        backoff = self._placing.find_rest(self._service, model)
+        backoff = self._placement.find_backoff(self._service, model)
         if backoff is not None:
             wait = round(backoff.seconds, 3)
             self._callbacks.on_step("rest", endpoint=backoff.endpoint.id, wait=wait)
         return backoff
 
     def judge_rest(
-        self, backoff: Rest, time_left: float, draw: float
+        self, backoff: Backoff, time_left: float, draw: float
     ) -> EndpointsResting | None:
         """Return an error if a backoff delays the call too long, or None.
 
@@ -149,7 +149,7 @@
         delay = max(COME_BACK, backoff.seconds) + draw * RETURN_SPREAD
         return EndpointsResting(f"service {self._service}", delay)
 
-    def await_rest(self, backoff: Rest) -> None:
+    def await_rest(self, backoff: Backoff) -> None:
         """Let the call choose again when a backoff has ended."""
         wait = max(LEAST_WAIT, backoff.seconds)
         self._loop.call_later(wait, self._callbacks.on_shut)
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -28,7 +28,7 @@
 from roadlift.instance.measures import Measures
 from roadlift.instance.owner import Owner
 from roadlift.instance.permits import Permits
-from roadlift.instance.placing import Placing
+from roadlift.instance.placement import Placement
 from roadlift.instance.platform import Platform
 from roadlift.instance.refusals import RefusalLog
 from roadlift.instance.served import ServedAdapters
@@ -80,7 +80,7 @@
         self._rng = random.Random(kernel.stamp)
         self._format = kernel.get(Platform).adapter.calls
         self._follower = kernel.get(Follower)
-        self._placing = kernel.get(Placing)
+        self._placement = kernel.get(Placement)
         self._knowledge = kernel.get(Knowledge)
         self._access = kernel.get(Access)
         self.measures = kernel.get(Measures)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placement.py
@@ -29,25 +29,25 @@
     choose_least_loaded,
 )
 
-ASK_PERIOD = 0.3  # Seconds after which a load request is repeated.
+LOAD_REQUEST_INTERVAL = 0.3  # Seconds after which a load request is repeated.
 # Seconds for which an engine that denied a load is not requested again for the
 # same adapter; also the interval between checks for load requests to repeat.
-DENIAL_PAUSE = 0.1
+DENIAL_BACKOFF = 0.1
 # Engines that are considered for one adapter, in addition to those that hold
 # it. Many instances have the same view, some tenths of a second old, and would
 # otherwise all choose the same engine; the preferred endpoints of different
 # adapters differ.
-MOST_CANDIDATES = 10
-SILENCE_TICK = 0.1  # Seconds between checks for unresponsive engines.
+MAX_CANDIDATES = 10
+INACTIVITY_CHECK_INTERVAL = 0.1  # Seconds between checks for unresponsive engines.
 # Seconds without a liveness signal from an owner after which an engine of
 # another zone is requested. Owners send one each 0.25 s, and an aggregator
 # adds up to as much again.
-SIGN_LIMIT = 0.55
+OWNER_INACTIVITY_TIMEOUT = 0.55
 
 log = PartLog("placing")
 
 
-class Rest(NamedTuple):
+class Backoff(NamedTuple):
     """An endpoint that requested no calls from this instance for a time."""
 
     endpoint: Endpoint
@@ -55,7 +55,7 @@
 
 
 @parts.register("placing")
-class Placing:
+class Placement:
     """Chooses endpoints for calls and keeps this process's pending loads."""
 
     name = "placing"
@@ -84,10 +84,10 @@
         self._pending_loads: dict[tuple[str, Model], PendingLoad] = {}
         self._timers: list = []
         self.health = self._knowledge.health
-        self.paces = Paces()
+        self.speeds = Paces()
         self.reading_times = ReadingTimes()
         self.generations = Generations()
-        self.silence = SilenceWatch()
+        self.inactivity = SilenceWatch()
         self._knowledge.on_held.append(self._notify_waiters)
         self._knowledge.on_denial.append(self._handle_denial)
         self._follower.on_directory.append(self._remove_gone)
@@ -96,8 +96,8 @@
         """Start the periodic checks."""
         loop = self._kernel.loop
         self._timers = [
-            loop.call_every(DENIAL_PAUSE, self._repeat_requests),
-            loop.call_every(SILENCE_TICK, self._check_inactivity),
+            loop.call_every(DENIAL_BACKOFF, self._repeat_requests),
+            loop.call_every(INACTIVITY_CHECK_INTERVAL, self._check_inactivity),
         ]
 
     def close(self) -> None:
@@ -107,7 +107,7 @@
 
     # Endpoint selection
 
-    def choose(self, service: str, excluded: set[str]) -> Endpoint | None:
+    def choose_endpoint(self, service: str, excluded: set[str]) -> Endpoint | None:
         """Return the endpoint of a plain service for a call, or None."""
         now = self._kernel.clock.now()
         usable = self._list_unreserved(service, excluded, now)
@@ -139,7 +139,7 @@
         usable = self._list_usable(service, excluded, now)
         return [one for one in usable if not self._limits.is_full(one.id)]
 
-    def measure_limit_wait(self, service: str, excluded: set[str]) -> float | None:
+    def compute_limit_wait(self, service: str, excluded: set[str]) -> float | None:
         """Return the seconds until a rate limit of a service permits a send.
 
         None if rate limits are not the reason why a call has no endpoint.
@@ -152,7 +152,7 @@
         ]
         return min(waits, default=None)
 
-    def holds(self, endpoint: Endpoint, model: Model | None) -> bool:
+    def accepts(self, endpoint: Endpoint, model: Model | None) -> bool:
         """Return whether an endpoint still accepts calls for an adapter."""
         listed = self._follower.directory.get(endpoint.id)
         is_last_resort = self._standings.is_last_resort(endpoint.id)
@@ -163,7 +163,7 @@
         min_version = self._follower.find_version(model)
         return self._residency.holds(endpoint.id, model, min_version)
 
-    def refuse(self, service: str, objective: float) -> float | None:
+    def check_admission(self, service: str, objective: float) -> float | None:
         """Return None to admit a call, else the seconds until a retry.
 
         A call is refused if its service is too full to run it within
@@ -176,7 +176,7 @@
             return None
         return self._service_loads.spread.refuse(service, usable, objective, now)
 
-    def has_spare_room(self, service: str) -> bool:
+    def has_spare_slots(self, service: str) -> bool:
         """Return whether a plain service has spare slots for retries."""
         now = self._kernel.clock.now()
         usable = self._list_below_limit(service, set(), now)
@@ -213,12 +213,12 @@
             requirements, engines, self.reading_times, self._load_waits, now
         )
 
-    def estimate_load(self, option: Option) -> float:
+    def estimate_load_time(self, option: Option) -> float:
         """Return the seconds within which a load that starts now completes."""
         now = self._kernel.clock.now()
         return self._load_waits.estimate_safely(option.engine.source, now)
 
-    def estimate_reading(self, option: Option, call: Call) -> float:
+    def estimate_reading_time(self, option: Option, call: Call) -> float:
         """Return the seconds that an engine takes to read a call's prompt."""
         now = self._kernel.clock.now()
         seconds_per_token = self.reading_times.estimate(option.engine.endpoint.id, now)
@@ -226,13 +226,13 @@
 
     def _check_inactivity(self) -> None:
         now = self._kernel.clock.now()
-        unresponsive = self.silence.find_silent(now)
+        unresponsive = self.inactivity.find_silent(now)
         for endpoint in unresponsive:
             self.health.note_absence(endpoint, now)
             log.event("endpoint_silent", endpoint=endpoint)
         # Mark all of them as absent before any call chooses another engine.
         for endpoint in unresponsive:
-            self.silence.leave(endpoint)
+            self.inactivity.leave(endpoint)
 
     def _list_usable(
         self, service: str, excluded: set[str], now: float
@@ -251,14 +251,14 @@
             and not self._standings.measure_rest(endpoint.id)
         ]
 
-    def find_rest(self, service: str, model: Model | None) -> Rest | None:
+    def find_backoff(self, service: str, model: Model | None) -> Backoff | None:
         """Return the backoff that ends first of those in the way, or None.
 
         If all endpoints of the service are backing off, each of them counts;
         otherwise only those that hold the model.
         """
         ready = self._follower.directory.list_ready(service)
-        backoffs = [Rest(one, self._standings.measure_rest(one.id)) for one in ready]
+        backoffs = [Backoff(one, self._standings.measure_rest(one.id)) for one in ready]
         active = [backoff for backoff in backoffs if backoff.seconds > 0.0]
         if len(active) < len(ready):
             min_version = self._follower.find_version(model) if model is not None else 0
@@ -305,7 +305,7 @@
         """Return the engines for a model, preferred endpoints first."""
         if not model.adapter:
             return usable
-        ranked = self._preferred_endpoints.rank(service, usable, model, MOST_CANDIDATES)
+        ranked = self._preferred_endpoints.rank(service, usable, model, MAX_CANDIDATES)
         holders = self._residency.find(model)
         return ranked + [
             endpoint
@@ -336,7 +336,7 @@
 
     def _weigh_running(self, endpoints: Iterable[Endpoint], now: float) -> Load:
         """Return a function from endpoint to calls, weighted by slowness."""
-        factors = self.paces.compare([one.id for one in endpoints], now)
+        factors = self.speeds.compare([one.id for one in endpoints], now)
         return lambda name: self.count_running(name) * factors.get(name, 1.0)
 
     def begin(self, endpoint: Endpoint, call: Call) -> None:
@@ -350,7 +350,7 @@
         if call.model.adapter:
             self._subscription.note_use(endpoint, call.model, 1)
 
-    def note_read(self, endpoint: Endpoint, call: Call) -> None:
+    def end_reading(self, endpoint: Endpoint, call: Call) -> None:
         """Stop counting a call's prompt as unread."""
         if call.model is not None:
             self._update_unread(endpoint, -call.tokens_in)
@@ -368,7 +368,7 @@
         self._workload.change_reading(endpoint.id, change)
         self._subscription.note_reading(endpoint)
 
-    def is_known(self, service: str) -> bool:
+    def has_endpoints(self, service: str) -> bool:
         """Return whether a service has an endpoint that accepts calls."""
         ready = self._follower.directory.list_ready(service)
         return bool(ready or self._list_last_resort(service, set()))
@@ -381,7 +381,7 @@
         if pending is None:
             pending = self._pending_loads[key] = PendingLoad(now)
         pending.waiters.append(waiter)
-        if now - pending.requested_at >= ASK_PERIOD:
+        if now - pending.requested_at >= LOAD_REQUEST_INTERVAL:
             self._request_load(key, pending, option.engine)
         else:
             self._commit(waiter, pending.engine.endpoint)
@@ -397,7 +397,7 @@
         waiter.commit(lambda: self._update_unread(endpoint, -waiter.tokens))
         self._update_unread(endpoint, waiter.tokens)
 
-    def note_missing(self, endpoint: str, model: Model) -> None:
+    def report_missing(self, endpoint: str, model: Model) -> None:
         """Record that an engine rejected a call because it lacks the adapter.
 
         The owner of the engine is notified as well.
@@ -438,8 +438,9 @@
         listed = self._follower.directory.get(endpoint.id)
         is_listed = listed is not None and not listed.is_draining
         owner_inactivity = self._knowledge.measure_silence(endpoint.zone)
-        is_owner_alive = owner_inactivity < SIGN_LIMIT and self._knowledge.has_owner(
-            endpoint.zone
+        is_owner_alive = (
+            owner_inactivity < OWNER_INACTIVITY_TIMEOUT
+            and self._knowledge.has_owner(endpoint.zone)
         )
         if is_listed and is_owner_alive:
             pending.requested_at = now
@@ -453,7 +454,7 @@
         service, model = key
         now = self._kernel.clock.now()
         recently_denied = {
-            name for name, at in pending.denied.items() if now - at < DENIAL_PAUSE
+            name for name, at in pending.denied.items() if now - at < DENIAL_BACKOFF
         }
         for waiter in pending.waiters:
             waiter.release()
@@ -502,7 +503,7 @@
                 del self._pending_loads[key]
             elif pending.endpoint in pending.denied:
                 self._request_elsewhere(key, pending)
-            elif now - pending.requested_at >= ASK_PERIOD:
+            elif now - pending.requested_at >= LOAD_REQUEST_INTERVAL:
                 self._repeat_request(key, pending, now)
 
     def _notify_waiters(self, model: Model, endpoint: str) -> None:
@@ -516,7 +517,7 @@
                     waiter.close()
                     waiter.on_ready()
 
-    def note_overdue(self, waiter: Waiter) -> None:
+    def record_overdue(self, waiter: Waiter) -> None:
         """Update the load time estimate by a call that was refused.
 
         Its load takes at least as long as the call waited. If only loads that
@@ -554,4 +555,4 @@
     def _remove_gone(self) -> None:
         listed = {endpoint.id for endpoint in self._follower.directory.list_all()}
         self.reading_times.forget(listed)
-        self.paces.forget(listed)
+        self.speeds.forget(listed)
--- a/tests/steps/instance_steps.py
+++ b/tests/steps/instance_steps.py
@@ -83,11 +83,11 @@
 def step_break_selection(context, name):
     """Raise an unexpected kind of error in the endpoint selection."""
 
-    def choose(service, excluded):
+    def choose_endpoint(service, excluded):
         """Raise a KeyError."""
         raise KeyError(service)
 
-    context.entries.entries[name].ingress._placing.choose = choose
+    context.entries.entries[name].ingress._placement.choose_endpoint = choose_endpoint
 
 
 @then("{name} has no running call")
