--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -27,7 +27,7 @@
 from roadlift.instance.adapterwait import COME_BACK, AdapterWait, Waiting
 from roadlift.instance.crashes import CrashWatch
 from roadlift.instance.follower import Follower
-from roadlift.instance.gate import Gate, Passage
+from roadlift.instance.gate import Gate, GateCallbacks
 from roadlift.instance.knowledge import OWNER_RETURN, Knowledge
 from roadlift.instance.placement import Placement
 from roadlift.instance.platform import Platform
@@ -106,7 +106,7 @@
             kernel,
             call,
             self._service,
-            Passage(self._record_step, self._on_permitted, self._try_send),
+            GateCallbacks(self._record_step, self._on_permitted, self._try_send),
         )
         self._identity: bytes | None = None
         self._holds_trial_slot = False
@@ -261,22 +261,22 @@
 
     def _refuse_if_limited(self) -> bool:
         """Refuse a call that the endpoints' rate limits leave no room for."""
-        error = self._gate.judge_limits(self._ingress.draw())
+        error = self._gate.check_limits(self._ingress.draw())
         if error is not None:
             self._fail(error)
         return error is not None
 
     def _wait_for_backoff(self, model: Model | None) -> bool:
         """Wait for the end of the endpoints' backoffs, or refuse the call."""
-        backoff = self._gate.find_rest(model)
+        backoff = self._gate.find_backoff(model)
         if backoff is None:
             return False
         time_left, draw = self._compute_time_left(), self._ingress.draw()
-        error = self._gate.judge_rest(backoff, time_left, draw)
+        error = self._gate.check_backoff(backoff, time_left, draw)
         if error is not None:
             self._fail(error)
         else:
-            self._gate.await_rest(backoff)
+            self._gate.await_backoff(backoff)
         return True
 
     def _compute_time_left(self) -> float:
@@ -285,9 +285,9 @@
 
     def _request_send(self, endpoint: Endpoint) -> None:
         """Request a send; an endpoint with a rate limit requires a permit."""
-        if self._gate.is_denied_often and self._refuse_if_limited():
+        if self._gate.has_reached_max_denials and self._refuse_if_limited():
             return
-        self._gate.ask(endpoint, self._compute_time_left())
+        self._gate.request_permit(endpoint, self._compute_time_left())
 
     def _on_permitted(self, endpoint: Endpoint, basis: Basis) -> None:
         """Send the call, unless it is not permitted any longer."""
@@ -469,7 +469,7 @@
         self._placement.health.note_answer(self._endpoint.id)
         self._verdict = self._format.judge(status, headers)
         has_run = self._verdict is Verdict.SUCCEEDED
-        self._gate.note_head(self._endpoint, status, headers, has_run)
+        self._gate.record_head(self._endpoint, status, headers, has_run)
         if self._frames is not None:
             # A resumed stream continues below the head that was already sent.
             return
@@ -646,7 +646,7 @@
 
         Too many failures eject the endpoint from selection for a while.
         """
-        if self._gate.is_resting(endpoint):
+        if self._gate.is_backing_off(endpoint):
             return
         if self._placement.health.note_failure(endpoint.id, now):
             self._ingress.measures.count("roadlift_ejections", self._service)
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -22,33 +22,34 @@
 
 # Fraction of the time left of a call's objective for which it waits until it
 # may be sent; the rest is reserved for its run.
-PATIENT_PART = 0.5
-MOST_DENIED = 4  # Endpoints at which a call requests a permit at most.
+MAX_WAIT_FRACTION = 0.5
+MAX_DENIALS = 4  # Endpoints at which a call requests a permit at most.
 # Minimum seconds until a call that waits for the end of a backoff checks
 # again.
-LEAST_WAIT = 0.02
+MIN_BACKOFF_WAIT = 0.02
 # Seconds over which the retries of callers that were refused because of a
 # backoff are distributed.
-RETURN_SPREAD = 0.5
+RETRY_JITTER = 0.5
 
 
-class Passage(NamedTuple):
+class GateCallbacks(NamedTuple):
     """Callbacks of a gate.
 
-    ``on_step`` logs a step of the call; ``on_open`` is called with the basis
-    of the permitted send, and ``on_shut`` when the call has to choose again.
+    ``on_step`` logs a step of the call; ``on_permitted`` is called with the
+    basis of the permitted send, and ``on_choose_again`` when the call has to
+    choose another endpoint.
     """
 
     on_step: Callable[..., None]
-    on_open: Callable[[Endpoint, Basis], None]
-    on_shut: Callable[[], None]
+    on_permitted: Callable[[Endpoint, Basis], None]
+    on_choose_again: Callable[[], None]
 
 
 class Gate:
     """The permits of one call; ``denied`` holds endpoints that denied one."""
 
     def __init__(
-        self, kernel: Kernel, call: Call, service: str, callbacks: Passage
+        self, kernel: Kernel, call: Call, service: str, callbacks: GateCallbacks
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
@@ -72,11 +73,11 @@
 
     # Before a send
 
-    def ask(self, endpoint: Endpoint, time_left: float) -> None:
+    def request_permit(self, endpoint: Endpoint, time_left: float) -> None:
         """Request a permit; ``time_left`` is what the objective leaves."""
         known = self._limits.find(endpoint.id)
         if known is None:
-            self._callbacks.on_open(endpoint, NO_BASIS)
+            self._callbacks.on_permitted(endpoint, NO_BASIS)
             return
         seconds_since = round(self._clock.now() - known.named_at, 3)
         self._callbacks.on_step(
@@ -87,34 +88,34 @@
             lambda wait: self._on_denied(endpoint, wait),
         )
         permit_wait = self._permits.ask(
-            endpoint, max(0.0, time_left) * PATIENT_PART, outcome
+            endpoint, max(0.0, time_left) * MAX_WAIT_FRACTION, outcome
         )
         if permit_wait is not None:
             self._permit_wait = permit_wait
 
     @property
-    def is_denied_often(self) -> bool:
+    def has_reached_max_denials(self) -> bool:
         """Return whether as many endpoints as allowed denied a permit."""
-        return len(self.denied) >= MOST_DENIED
+        return len(self.denied) >= MAX_DENIALS
 
     def _on_granted(self, endpoint: Endpoint, basis: Basis) -> None:
         self._permit_wait = None
         if self._placement.accepts(endpoint, self._call.model):
-            self._callbacks.on_open(endpoint, basis)
+            self._callbacks.on_permitted(endpoint, basis)
             return
         # The permit is discarded: it would expire before another call used it.
-        self._callbacks.on_shut()
+        self._callbacks.on_choose_again()
 
     def _on_denied(self, endpoint: Endpoint, wait: float) -> None:
         """Choose again, as the rate limit of this endpoint is exhausted."""
         self._permit_wait = None
         self.denied.add(endpoint.id)
         self._callbacks.on_step("full", endpoint=endpoint.id, wait=round(wait, 3))
-        self._callbacks.on_shut()
+        self._callbacks.on_choose_again()
 
     # Without an available endpoint
 
-    def judge_limits(self, draw: float) -> LimitReached | None:
+    def check_limits(self, draw: float) -> LimitReached | None:
         """Return an error if rate limits leave no room, or None.
 
         The caller is told to retry when a send may be available, with jitter
@@ -126,7 +127,7 @@
         delay = max(COME_BACK, wait) * (1.0 + draw)
         return LimitReached(f"service {self._service}", delay)
 
-    def find_rest(self, model: Model | None) -> Backoff | None:
+    def find_backoff(self, model: Model | None) -> Backoff | None:
         """Return the backoff that ends first if all back off, or None.
 
         With a ``model``, only the endpoints that hold it count.
@@ -137,22 +138,22 @@
             self._callbacks.on_step("rest", endpoint=backoff.endpoint.id, wait=wait)
         return backoff
 
-    def judge_rest(
+    def check_backoff(
         self, backoff: Backoff, time_left: float, draw: float
     ) -> EndpointsResting | None:
         """Return an error if a backoff delays the call too long, or None.
 
         The call has ``time_left`` seconds of its objective.
         """
-        if backoff.seconds <= time_left * PATIENT_PART:
+        if backoff.seconds <= time_left * MAX_WAIT_FRACTION:
             return None
-        delay = max(COME_BACK, backoff.seconds) + draw * RETURN_SPREAD
+        delay = max(COME_BACK, backoff.seconds) + draw * RETRY_JITTER
         return EndpointsResting(f"service {self._service}", delay)
 
-    def await_rest(self, backoff: Backoff) -> None:
+    def await_backoff(self, backoff: Backoff) -> None:
         """Let the call choose again when a backoff has ended."""
-        wait = max(LEAST_WAIT, backoff.seconds)
-        self._loop.call_later(wait, self._callbacks.on_shut)
+        wait = max(MIN_BACKOFF_WAIT, backoff.seconds)
+        self._loop.call_later(wait, self._callbacks.on_choose_again)
 
     # Sends and their answers
 
@@ -167,11 +168,11 @@
         """Return whether the first byte of the call may still be written."""
         return self._standings.may_send(endpoint)
 
-    def is_resting(self, endpoint: Endpoint) -> bool:
+    def is_backing_off(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint has requested a backoff that lasts."""
         return self._standings.wants_rest(endpoint.id)
 
-    def note_head(
+    def record_head(
         self,
         endpoint: Endpoint,
         status: int,
