--- a/roadlift/instance/adapterwait.py
+++ b/roadlift/instance/adapterwait.py
@@ -14,15 +14,15 @@
 from roadlift.serving.routes import Route
 
 # Seconds after which a caller may retry a call that did not run.
-COME_BACK = 0.2
+DEFAULT_RETRY_AFTER = 0.2
 # Multiple of the predicted load time for which a call waits. What delays a
 # load beyond that is not known here, and another instance may serve the caller
 # sooner. With this limit, half as many calls are held until their callers
 # disconnect.
-OVERDUE = 2.5
+OVERDUE_FACTOR = 2.5
 
 
-class Waiting(NamedTuple):
+class WaitCallbacks(NamedTuple):
     """Callbacks of a wait, for its steps, its end and its refusal."""
 
     on_step: Callable[..., None]
@@ -44,7 +44,7 @@
         route: Route,
         service: str,
         began_at: float,
-        callbacks: Waiting,
+        callbacks: WaitCallbacks,
     ) -> None:
         self._clock = kernel.clock
         self._loop = kernel.loop
@@ -92,7 +92,7 @@
         # patience would always complete just after the refusal and serve
         # nobody.
         self._deadline = now + caller_wait - reading_time
-        self._max_wait = OVERDUE * option.expected
+        self._max_wait = OVERDUE_FACTOR * option.expected
         self._schedule_refusal()
         self._callbacks.on_step(
             "wait",
@@ -113,7 +113,7 @@
     def _refuse_too_late(self, lateness: float) -> None:
         """Refuse a call that would be served after its caller disconnects."""
         text = f"{self._call.model} can't be loaded in time"
-        self._callbacks.on_refused(NoEndpoint(text, max(COME_BACK, lateness)))
+        self._callbacks.on_refused(NoEndpoint(text, max(DEFAULT_RETRY_AFTER, lateness)))
 
     def _schedule_refusal(self) -> None:
         """Schedule the refusal for when the load is overdue or too late."""
@@ -133,7 +133,7 @@
         self._count("overdue")
         self._placement.record_overdue(self._waiter)
         text = f"{self._call.model} was not loaded in time"
-        self._callbacks.on_refused(NoEndpoint(text, COME_BACK))
+        self._callbacks.on_refused(NoEndpoint(text, DEFAULT_RETRY_AFTER))
 
     def _on_loaded(self) -> None:
         self._waiter = None
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -24,7 +24,11 @@
 from roadlift.endpoints.events import EventFrames
 from roadlift.http.messages import drop_hop_by_hop
 from roadlift.instance.access import Pass
-from roadlift.instance.adapterwait import COME_BACK, AdapterWait, Waiting
+from roadlift.instance.adapterwait import (
+    DEFAULT_RETRY_AFTER,
+    AdapterWait,
+    WaitCallbacks,
+)
 from roadlift.instance.crashes import CrashWatch
 from roadlift.instance.follower import Follower
 from roadlift.instance.gate import Gate, GateCallbacks
@@ -100,7 +104,7 @@
             route,
             self._service,
             self._began_at,
-            Waiting(self._record_step, self._try_send, self._fail),
+            WaitCallbacks(self._record_step, self._try_send, self._fail),
         )
         self._gate = Gate(
             kernel,
@@ -245,7 +249,7 @@
         if self._refuse_if_limited():
             return
         if model is None or not model.adapter or not is_servable:
-            self._fail(NoEndpoint(f"service {self._service}", COME_BACK))
+            self._fail(NoEndpoint(f"service {self._service}", DEFAULT_RETRY_AFTER))
             return
         if (
             self._knowledge.is_owner_due()
@@ -708,7 +712,7 @@
         else:
             headers = dict(self._format.describe(self.call.id))
             if error.status in _NOT_RUN_STATUSES:
-                headers["Retry-After"] = f"{error.retry_after or COME_BACK:g}"
+                headers["Retry-After"] = f"{error.retry_after or DEFAULT_RETRY_AFTER:g}"
             self._caller.answer_error(error, headers)
         self._end("refused" if error.outcome is Outcome.NOT_RUN else "failed", error)
 
@@ -719,7 +723,7 @@
         line = self._line
         if line is not None and line.written:
             self._unconfirmed_error = RequestTimeout(f"at {self._endpoint.id}")
-        error = NoEndpoint("time limit exceeded", COME_BACK)
+        error = NoEndpoint("time limit exceeded", DEFAULT_RETRY_AFTER)
         self._fail(self._unconfirmed_error or error)
 
     # Caller
--- a/roadlift/instance/gate.py
+++ b/roadlift/instance/gate.py
@@ -12,7 +12,7 @@
 from roadlift.core.errors import EndpointsResting, LimitReached
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.limits import NO_BASIS, Basis
-from roadlift.instance.adapterwait import COME_BACK
+from roadlift.instance.adapterwait import DEFAULT_RETRY_AFTER
 from roadlift.instance.limits import Answered, EndpointLimits
 from roadlift.instance.permits import Outcome, Permits, SendWait
 from roadlift.instance.placement import Backoff, Placement
@@ -124,7 +124,7 @@
         wait = self._placement.compute_limit_wait(self._service, self.denied)
         if wait is None:
             return None
-        delay = max(COME_BACK, wait) * (1.0 + draw)
+        delay = max(DEFAULT_RETRY_AFTER, wait) * (1.0 + draw)
         return LimitReached(f"service {self._service}", delay)
 
     def find_backoff(self, model: Model | None) -> Backoff | None:
@@ -147,7 +147,7 @@
         """
         if backoff.seconds <= time_left * MAX_WAIT_FRACTION:
             return None
-        delay = max(COME_BACK, backoff.seconds) + draw * RETRY_JITTER
+        delay = max(DEFAULT_RETRY_AFTER, backoff.seconds) + draw * RETRY_JITTER
         return EndpointsResting(f"service {self._service}", delay)
 
     def await_backoff(self, backoff: Backoff) -> None:
