--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -46,19 +46,19 @@
 
 # Bytes of an answer that are buffered until it is complete; a longer answer is
 # forwarded as it arrives.
-MOST_HELD = 131072
+MAX_BUFFERED_BYTES = 131072
 # Seconds without a byte after which a send to an endpoint times out. The
 # call's own time limit is usually shorter.
-SILENCE_LIMIT = 30.0
+ENDPOINT_INACTIVITY_TIMEOUT = 30.0
 # Seconds after which a caller may retry if no owner may send orders: a large
 # part of the time in which another instance takes over.
-OWNERLESS_PAUSE = 1.0
-OWNER_TICK = 0.05  # Seconds between checks for an owner that is expected.
+NO_OWNER_RETRY_DELAY = 1.0
+OWNER_POLL_INTERVAL = 0.05  # Seconds between checks for an owner that is expected.
 # Seconds until endpoints that have all rejected a call are tried once more.
-ROUND_PAUSE = 0.05
+SECOND_ROUND_DELAY = 0.05
 # Added to the priority number of a late call, so that engines first read the
 # prompts of calls that can still meet their objective.
-LATE_STEP = 4
+LATE_PRIORITY_PENALTY = 4
 # Statuses that tell a caller that its call did not run.
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
 _EVENT_STREAM = "text/event-stream"
@@ -244,7 +244,7 @@
             # more.
             self._is_second_round = True
             self._excluded.clear()
-            self._kernel.loop.call_later(ROUND_PAUSE, self._try_send)
+            self._kernel.loop.call_later(SECOND_ROUND_DELAY, self._try_send)
             return
         if self._refuse_if_limited():
             return
@@ -256,12 +256,14 @@
             and self._compute_caller_wait(now) > OWNER_RETURN
         ):
             self._record_step("wait", expected=OWNER_RETURN)
-            self._kernel.loop.call_later(OWNER_TICK, self._try_send)
+            self._kernel.loop.call_later(OWNER_POLL_INTERVAL, self._try_send)
             return
         if self._wait_for_backoff(model):
             return
         # No owner may send orders now; the call is refused at once.
-        self._fail(NoEndpoint(f"no owner available to load {model}", OWNERLESS_PAUSE))
+        self._fail(
+            NoEndpoint(f"no owner available to load {model}", NO_OWNER_RETRY_DELAY)
+        )
 
     def _refuse_if_limited(self) -> bool:
         """Refuse a call that the endpoints' rate limits leave no room for."""
@@ -373,7 +375,7 @@
                 endpoint.id, self, self._on_unresponsive, now
             )
         self._line = self._kernel.dialer.open(
-            endpoint.address, request, self, SILENCE_LIMIT
+            endpoint.address, request, self, ENDPOINT_INACTIVITY_TIMEOUT
         )
 
     def _describe_state_age(self, endpoint: Endpoint) -> dict[str, float]:
@@ -398,7 +400,7 @@
         seconds_per_token = self._placement.reading_times.estimate(endpoint.id, now)
         expected = seconds_per_token * (self._tokens_ahead + self.call.tokens_in)
         is_late = now + expected - self._began_at > self.route.objective
-        return priority + LATE_STEP if is_late else priority
+        return priority + LATE_PRIORITY_PENALTY if is_late else priority
 
     def _cancel_send(self) -> None:
         """Cancel the current send; the endpoint cancels its run."""
@@ -494,7 +496,7 @@
         self._chunks_received += 1
         self._release_trial_slot()
         if self._verdict is not Verdict.SUCCEEDED:
-            self._buffer += data[: MOST_HELD - len(self._buffer)]
+            self._buffer += data[: MAX_BUFFERED_BYTES - len(self._buffer)]
             return
         if self._frames is not None:
             self._write(self._frames.take_whole(data))
@@ -503,7 +505,7 @@
             self._write(data)
             return
         self._buffer += data
-        if len(self._buffer) > MOST_HELD:
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
             length = self._headers.get("content-length")
             self._write_head(int(length) if length else None)
             buffered, self._buffer = bytes(self._buffer), bytearray()
