--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -179,7 +179,7 @@
 
     def _record_step(self, step: str, **fields: object) -> None:
         """Record a step for the log line of the call's end."""
-        self._progress.note_step(self._kernel.clock.now(), step, **fields)
+        self._progress.record_step(self._kernel.clock.now(), step, **fields)
 
     # Sending
 
@@ -535,7 +535,7 @@
         if self._frames is None:
             self._placement.speeds.note(endpoint.id, now - self._sent_at, now)
         elif self._progress.writes > 1:
-            seconds = self._progress.generation
+            seconds = self._progress.generation_time
             intervals = self._progress.writes - 1
             self._placement.generations.note(self.route.name, seconds)
             self._placement.speeds.note(endpoint.id, seconds / intervals, now)
@@ -575,7 +575,7 @@
         now = self._kernel.clock.now()
         if self.call.model is not None:
             self._record_event(now)
-        self._progress.note_write(now)
+        self._progress.record_write(now)
         self._caller.write(data)
         if self._caller.is_full and self._line is not None:
             self._line.pause()
@@ -584,7 +584,7 @@
         if self._caller.started:
             self._caller.finish()
         else:
-            self._progress.note_whole(self._kernel.clock.now())
+            self._progress.record_complete(self._kernel.clock.now())
             self._answer_buffered()
         self._end("served", None)
 
@@ -745,7 +745,7 @@
         self._is_over = True
         self._timer.close()
         now = self._kernel.clock.now()
-        time_to_first_byte = self._progress.first_after
+        time_to_first_byte = self._progress.time_to_first_byte
         is_late = self._progress.is_late(self.route)
         self._ingress.finish(self)
         self._authorization.end(outcome)
@@ -779,7 +779,7 @@
         late = "yes" if is_late else "no"
         measures.count("roadlift_calls", service, outcome, late)
         measures.observe("roadlift_call_seconds", now - self._began_at, service)
-        time_to_first_byte = self._progress.first_after
+        time_to_first_byte = self._progress.time_to_first_byte
         if time_to_first_byte is not None:
             measures.observe("roadlift_first_seconds", time_to_first_byte, service)
         if self._adapter_wait.seconds:
--- a/roadlift/instance/progress.py
+++ b/roadlift/instance/progress.py
@@ -2,7 +2,7 @@
 
 from roadlift.serving.routes import Route
 
-MOST_STEPS = 16  # Steps of one call that are kept for the log.
+MAX_STEPS = 16  # Steps of one call that are kept for the log.
 
 
 class Progress:
@@ -16,13 +16,13 @@
         self.last_at = began_at
         self.longest_pause = 0.0
 
-    def note_step(self, now: float, step: str, **fields: object) -> None:
+    def record_step(self, now: float, step: str, **fields: object) -> None:
         """Record a step for the log line of the call's end."""
-        if len(self.steps) < MOST_STEPS:
+        if len(self.steps) < MAX_STEPS:
             age = round(now - self.began_at, 4)
             self.steps.append({"at": age, "step": step, **fields})
 
-    def note_write(self, now: float) -> None:
+    def record_write(self, now: float) -> None:
         """Record that a part of the answer was written to the caller."""
         if self.first_at is None:
             self.first_at = now
@@ -31,23 +31,23 @@
         self.last_at = now
         self.writes += 1
 
-    def note_whole(self, now: float) -> None:
+    def record_complete(self, now: float) -> None:
         """Record that the answer was written in one piece."""
         self.first_at = now
 
     @property
-    def first_after(self) -> float | None:
+    def time_to_first_byte(self) -> float | None:
         """Return the seconds from the arrival to the first byte, or None."""
         return None if self.first_at is None else self.first_at - self.began_at
 
     @property
-    def generation(self) -> float:
+    def generation_time(self) -> float:
         """Return the seconds from the first write to the last."""
         return self.last_at - self.first_at if self.first_at is not None else 0.0
 
     def is_late(self, route: Route) -> bool:
         """Return whether the first byte or a later one was too late."""
-        first = self.first_after
+        first = self.time_to_first_byte
         if first is None or first > route.objective:
             return True
         limit = route.pause_objective
