--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -267,7 +267,7 @@
 
     def _refuse_if_limited(self) -> bool:
         """Refuse a call that the endpoints' rate limits leave no room for."""
-        error = self._gate.check_limits(self._ingress.draw())
+        error = self._gate.check_limits(self._ingress.sample_jitter())
         if error is not None:
             self._fail(error)
         return error is not None
@@ -277,7 +277,7 @@
         backoff = self._gate.find_backoff(model)
         if backoff is None:
             return False
-        time_left, draw = self._compute_time_left(), self._ingress.draw()
+        time_left, draw = self._compute_time_left(), self._ingress.sample_jitter()
         error = self._gate.check_backoff(backoff, time_left, draw)
         if error is not None:
             self._fail(error)
@@ -690,7 +690,7 @@
             self.route,
             sends,
             self._has_spare_slot,
-            lambda: self._ingress.spend_retry(self._service, now),
+            lambda: self._ingress.consume_retry(self._service, now),
         )
 
     def _has_spare_slot(self) -> bool:
@@ -750,7 +750,7 @@
         self._ingress.finish(self)
         self._authorization.end(outcome)
         self._update_metrics(outcome, is_late, now)
-        self._ingress.log_end(
+        self._ingress.log_call_end(
             outcome,
             is_late,
             self.call.model,
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -39,13 +39,13 @@
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.routes import Configuration, Route
 
-DRAIN_TICK = 0.1  # Seconds between checks of the drain's progress.
+DRAIN_CHECK_INTERVAL = 0.1  # Seconds between checks of the drain's progress.
 # Seconds before the drain limit at which a process ends by itself: the time
 # that it takes to close, and the delay of a timer on a slow instance.
-END_MARGIN = 0.5
+DRAIN_LIMIT_MARGIN = 0.5
 # One of this many calls that were served in time is logged; of all other
 # calls, each one.
-SAMPLE = 20
+SERVED_LOG_SAMPLE = 20
 
 log = PartLog("ingress")
 
@@ -89,8 +89,8 @@
         self._served_count = 0
         self._served_adapters = ServedAdapters(kernel)
         self._refusal_log = RefusalLog(kernel.clock)
-        self.is_over = False
-        limit = max(settings.grace, settings.drain_limit - END_MARGIN)
+        self.is_drained = False
+        limit = max(settings.grace, settings.drain_limit - DRAIN_LIMIT_MARGIN)
         self._drain = Drain(kernel.clock, settings.grace, limit)
         self._timer = None
         self._server = Server(
@@ -135,10 +135,12 @@
             return
         log.event("leaving", running=len(self._exchanges))
         self._drain.start()
-        self._timer = self._kernel.loop.call_every(DRAIN_TICK, self._check_drain)
+        self._timer = self._kernel.loop.call_every(
+            DRAIN_CHECK_INTERVAL, self._check_drain
+        )
         self._kernel.get(Leases).release()
 
-    def draw(self) -> float:
+    def sample_jitter(self) -> float:
         """Return a random number from 0 to 1, as jitter for retries."""
         return self._rng.random()
 
@@ -152,7 +154,7 @@
             )
         return budget
 
-    def spend_retry(self, service: str, now: float) -> bool:
+    def consume_retry(self, service: str, now: float) -> bool:
         """Consume a retry of a service's budget; return False without one."""
         instances = self._knowledge.count_instances()
         return self.get_budget(service).spend(now, instances)
@@ -174,7 +176,7 @@
         self._exchanges.discard(exchange)
         self.measures.set("roadlift_running_calls", len(self._exchanges))
 
-    def log_end(
+    def log_call_end(
         self, outcome: str, is_late: bool, model: Model | None, **fields: object
     ) -> None:
         """Log how a call ended; calls that were served in time are sampled."""
@@ -182,9 +184,9 @@
             self._served_adapters.note(str(model))
         if outcome == "served" and not is_late:
             self._served_count += 1
-            if self._served_count % SAMPLE:
+            if self._served_count % SERVED_LOG_SAMPLE:
                 return
-            fields["one_in"] = SAMPLE
+            fields["one_in"] = SERVED_LOG_SAMPLE
         name = str(model) if model else None
         log.event("call_ended", outcome=outcome, model=name, **fields)
 
@@ -267,9 +269,9 @@
             self._server.close_idle()
         if phase is Phase.ENDED:
             self._timer.close()
-            self.is_over = True
+            self.is_drained = True
             log.event("drained", cut=len(self._exchanges))
-            self._kernel.loop.call_later(DRAIN_TICK, self._kernel.stop)
+            self._kernel.loop.call_later(DRAIN_CHECK_INTERVAL, self._kernel.stop)
 
 
 class _ReadinessHandler:
--- a/tests/steps/instance_steps.py
+++ b/tests/steps/instance_steps.py
@@ -713,7 +713,7 @@
 @then("a has drained")
 def step_drained(context):
     """Check that the drain has ended."""
-    assert context.entries.entries["a"].ingress.is_over
+    assert context.entries.entries["a"].ingress.is_drained
 
 
 @then("e4 was ordered to load its base model")
