--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -233,7 +233,7 @@
     ) -> None:
         call_id = self._format.read_id(received)
         self.measures.count("roadlift_refusals", error.code)
-        self._refusal_log.note(
+        self._refusal_log.log_refusal(
             error.code,
             call_id,
             str(error),
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -7,8 +7,8 @@
 # Lines a second for each error code. A line costs about 0.1 ms of processor
 # time: a flood of invalid keys, 3,000 a second at one instance, would use a
 # third of a processor.
-MOST_LINES = 20
-MOST_AGE = 999.0  # Seconds; logged for what was never known.
+MAX_LINES = 20
+MAX_AGE = 999.0  # Seconds; logged for what was never known.
 
 log = PartLog("ingress")
 
@@ -22,7 +22,7 @@
         self._written: dict[str, int] = {}
         self._left_out: dict[str, int] = {}
 
-    def note(
+    def log_refusal(
         self,
         code: str,
         request: str,
@@ -57,8 +57,8 @@
             self._written.clear()
         written = self._written.get(code, 0)
         self._written[code] = written + 1
-        return written < MOST_LINES
+        return written < MAX_LINES
 
 
 def _round_age(seconds: float) -> float:
-    return round(min(seconds, MOST_AGE), 3)
+    return round(min(seconds, MAX_AGE), 3)
