--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -181,7 +181,7 @@
     ) -> None:
         """Log how a call ended; calls that were served in time are sampled."""
         if outcome == "served" and model is not None:
-            self._served_adapters.note(str(model))
+            self._served_adapters.record(str(model))
         if outcome == "served" and not is_late:
             self._served_count += 1
             if self._served_count % SERVED_LOG_SAMPLE:
--- a/roadlift/instance/served.py
+++ b/roadlift/instance/served.py
@@ -8,9 +8,9 @@
 
 # Seconds between lines. A process that is killed loses its last line, so that
 # an adapter that was served counts as unserved for at most this time.
-PERIOD = 10.0
+LOG_INTERVAL = 10.0
 # Adapters that one line names: about 4 KB, as many as a busy instance serves.
-MOST_NAMED = 256
+MAX_NAMES = 256
 
 log = PartLog("ingress")
 
@@ -26,7 +26,7 @@
 
     def start(self) -> None:
         """Start to write lines."""
-        self._timer = self._loop.call_every(PERIOD, self._write)
+        self._timer = self._loop.call_every(LOG_INTERVAL, self._write)
 
     def close(self) -> None:
         """Write the last line."""
@@ -34,9 +34,9 @@
             self._timer.close()
             self._write()
 
-    def note(self, model: str) -> None:
+    def record(self, model: str) -> None:
         """Record that a call was served with an adapter."""
-        if len(self._models) < MOST_NAMED:
+        if len(self._models) < MAX_NAMES:
             self._models.add(model)
         elif model not in self._models:
             self._left_out += 1
