--- a/benchmarks/keys.py
+++ b/benchmarks/keys.py
@@ -77,7 +77,7 @@
         call = Call("r", "POST", path, "h.example", {}, b"", key=digest)
         granted = access.admit(call, route)
         granted.apply_priority(route)
-        granted.judge()
+        granted.check()
         granted.begin()
         assert granted.name is not None
         granted.end("served")
--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -26,13 +26,13 @@
 # Seconds after which a caller may retry that is refused because the
 # configuration is old; it reaches another instance, which may have a newer
 # one.
-OLD_RETURN = 0.3
-LEAST_RETURN = 0.05  # Minimum seconds that a caller over its allowance waits.
-MOST_NAMED = 64  # Organisations with a label of their own in metrics.
-OTHERS = "other"  # The label of all other organisations.
+STALE_RETRY_DELAY = 0.3
+MIN_RETRY_DELAY = 0.05  # Minimum seconds that a caller over its allowance waits.
+MAX_LABELS = 64  # Organisations with a label of their own in metrics.
+OTHER_LABEL = "other"  # The label of all other organisations.
 
 
-class Judgement(NamedTuple):
+class AccessState(NamedTuple):
     """The state by which a call is authorized.
 
     ``age`` is the seconds since the configuration was last confirmed;
@@ -45,7 +45,7 @@
     use: UseNow | None = None
 
 
-class Pass:
+class Authorization:
     """The authorization of one call to be sent.
 
     ``organisation`` is None if the call belongs to none; ``amount`` is what
@@ -78,20 +78,20 @@
         is_same = priority is None or priority == route.priority
         return route if is_same else route._replace(priority=priority)
 
-    def judge(self) -> RoadliftError | None:
+    def check(self) -> RoadliftError | None:
         """Return why the call may not be sent now, or None."""
         if self.organisation is None:
             return None
-        return self._access.judge(self._key, self.organisation)
+        return self._access.check(self._key, self.organisation)
 
     def begin(self) -> None:
         """Count a send; the first one was charged when the call arrived."""
         if self._is_prepaid:
             self._is_prepaid = False
         else:
-            self._access.spend(self, 1)
+            self._access.charge(self, 1)
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Record that the last send did not run; the next is not charged."""
         self._is_prepaid = True
 
@@ -101,7 +101,7 @@
             return
         if self._is_prepaid:
             self._is_prepaid = False
-            self._access.spend(self, -1)
+            self._access.charge(self, -1)
         self._access.count(self.organisation, outcome)
 
 
@@ -130,22 +130,22 @@
         """Return whether the configuration has organisations with keys."""
         return self._follower.keys is not None
 
-    def admit(self, call: Call, route: Route) -> Pass:
+    def admit(self, call: Call, route: Route) -> Authorization:
         """Return the authorization of a call, or raise why it is refused."""
         if self._follower.keys is None:
-            return Pass(self, None, call)
+            return Authorization(self, None, call)
         organisation = self._follower.keys.find(call.key)
         if organisation is None and route.is_open:
-            return Pass(self, None, call)
+            return Authorization(self, None, call)
         self.check_age()
         if organisation is None:
             raise UnknownKey()
-        authorization = Pass(self, organisation, call)
+        authorization = Authorization(self, organisation, call)
         wait = self._allowances.take(organisation, authorization.amount)
         if wait:
             self.count(organisation, OverAllowance.code)
             detail = f"organisation {organisation.name}"
-            raise OverAllowance(detail, max(LEAST_RETURN, wait))
+            raise OverAllowance(detail, max(MIN_RETRY_DELAY, wait))
         return authorization
 
     def check_age(self) -> None:
@@ -156,10 +156,10 @@
         age = self._follower.measure_operator_age()
         if age > limit - SEND_MARGIN:
             raise StaleConfiguration(
-                f"configuration last confirmed {age:.2f} s ago", OLD_RETURN
+                f"configuration last confirmed {age:.2f} s ago", STALE_RETRY_DELAY
             )
 
-    def judge(self, key: str, organisation: Organisation) -> RoadliftError | None:
+    def check(self, key: str, organisation: Organisation) -> RoadliftError | None:
         """Return why an organisation's call may not be sent now, or None."""
         try:
             self.check_age()
@@ -172,7 +172,7 @@
             return UnknownKey("revoked after the call arrived")
         return None
 
-    def spend(self, authorization: Pass, times: int) -> None:
+    def charge(self, authorization: Authorization, times: int) -> None:
         """Charge runs of a call; a negative number of runs is a refund."""
         if authorization.organisation is not None:
             self._allowances.spend(
@@ -182,18 +182,18 @@
     def count(self, organisation: Organisation, outcome: str) -> None:
         """Count how a call of an organisation ended."""
         label = organisation.name
-        if label not in self._labelled and len(self._labelled) >= MOST_NAMED:
-            label = OTHERS
+        if label not in self._labelled and len(self._labelled) >= MAX_LABELS:
+            label = OTHER_LABEL
         self._labelled.add(label)
         self._measures.count("roadlift_organisation_calls", label, outcome)
 
-    def describe(self, call: Call | None) -> Judgement | None:
+    def describe(self, call: Call | None) -> AccessState | None:
         """Return the state by which a call is authorized, if keys are used."""
         if call is None or self._follower.keys is None:
             return None
         age = self._follower.measure_operator_age()
         organisation = self._follower.keys.find(call.key)
         if organisation is None:
-            return Judgement(age)
+            return AccessState(age)
         use = self._allowances.describe(organisation)
-        return Judgement(age, organisation.name, use)
+        return AccessState(age, organisation.name, use)
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -23,7 +23,7 @@
 from roadlift.decisions.resending import Sends, find_obstacle
 from roadlift.endpoints.events import EventFrames
 from roadlift.http.messages import drop_hop_by_hop
-from roadlift.instance.access import Pass
+from roadlift.instance.access import Authorization
 from roadlift.instance.adapterwait import (
     DEFAULT_RETRY_AFTER,
     AdapterWait,
@@ -75,7 +75,7 @@
         ingress,
         call: Call,
         route: Route,
-        authorization: Pass,
+        authorization: Authorization,
         caller: Caller,
     ) -> None:
         self.call = call
@@ -187,7 +187,7 @@
         """Send the call to an endpoint, or wait for one."""
         if self._is_over:
             return
-        obstacle = self._authorization.judge() or self._ledger.judge(self._identify)
+        obstacle = self._authorization.check() or self._ledger.judge(self._identify)
         if obstacle is not None:
             self._fail(obstacle)
             return
@@ -297,7 +297,7 @@
 
     def _on_permitted(self, endpoint: Endpoint, basis: Basis) -> None:
         """Send the call, unless it is not permitted any longer."""
-        obstacle = self._authorization.judge() or self._ledger.judge(self._identify)
+        obstacle = self._authorization.check() or self._ledger.judge(self._identify)
         if obstacle is None:
             self._send(endpoint, basis)
         else:
@@ -559,7 +559,7 @@
     def _on_revoked(self, endpoint: Endpoint) -> None:
         """Choose again: the endpoint refuses calls by now; none was sent."""
         self._sends -= 1
-        self._authorization.give_back()
+        self._authorization.refund()
         self._excluded.add(endpoint.id)
         self._record_step("held", endpoint=endpoint.id)
         self._try_send()
@@ -617,7 +617,7 @@
         if error.outcome is not Outcome.NOT_RUN:
             self._unconfirmed_error = error
         else:
-            self._authorization.give_back()
+            self._authorization.refund()
         reason = self._find_obstacle(error, now)
         self._ingress.measures.count(
             "roadlift_failed_sends", self._service, error.code, reason or "no"
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -2,7 +2,7 @@
 
 from roadlift.core.clock import Clock
 from roadlift.core.logs import PartLog
-from roadlift.instance.access import Judgement
+from roadlift.instance.access import AccessState
 
 # Lines a second for each error code. A line costs about 0.1 ms of processor
 # time: a flood of invalid keys, 3,000 a second at one instance, would use a
@@ -28,7 +28,7 @@
         request: str,
         error: str,
         configuration: int | None,
-        access_state: Judgement | None,
+        access_state: AccessState | None,
     ) -> None:
         """Write a line, unless too many of the same error were written."""
         if not self._count_line(code):
