--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -13,7 +13,7 @@
     UnknownKey,
 )
 from roadlift.core.kernel import Kernel, parts
-from roadlift.instance.allowances import Allowances, UseNow
+from roadlift.instance.allowances import Allowances, CurrentUse
 from roadlift.instance.follower import Follower
 from roadlift.instance.measures import Measures
 from roadlift.serving.calls import Call
@@ -42,7 +42,7 @@
 
     age: float
     organisation: str | None = None
-    use: UseNow | None = None
+    use: CurrentUse | None = None
 
 
 class Authorization:
@@ -141,7 +141,7 @@
         if organisation is None:
             raise UnknownKey()
         authorization = Authorization(self, organisation, call)
-        wait = self._allowances.take(organisation, authorization.amount)
+        wait = self._allowances.acquire(organisation, authorization.amount)
         if wait:
             self.count(organisation, OverAllowance.code)
             detail = f"organisation {organisation.name}"
@@ -175,7 +175,7 @@
     def charge(self, authorization: Authorization, times: int) -> None:
         """Charge runs of a call; a negative number of runs is a refund."""
         if authorization.organisation is not None:
-            self._allowances.spend(
+            self._allowances.charge(
                 authorization.organisation, times * authorization.amount
             )
 
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -18,21 +18,21 @@
 # Organisations whose share of the allowance is exported as a metric, those
 # with the highest demand first: more series would cost more than they are
 # worth.
-MOST_MEASURED = 32
+MAX_METRIC_ORGANISATIONS = 32
 
 
-class UseNow(NamedTuple):
+class CurrentUse(NamedTuple):
     """An organisation's use of its allowance, as known to this process.
 
-    ``part`` is this instance's share of the allowance, ``used`` the amount
+    ``share`` is this instance's share of the allowance, ``used`` the amount
     used since the start, ``demand`` the amount requested a second, and
-    ``news_age`` the seconds since the last update.
+    ``update_age`` the seconds since the last update.
     """
 
-    part: float
+    share: float
     used: float
     demand: float
-    news_age: float
+    update_age: float
 
 
 @parts.register("allowances")
@@ -65,7 +65,7 @@
 
     # Calls
 
-    def take(self, organisation: Organisation, amount: float) -> float:
+    def acquire(self, organisation: Organisation, amount: float) -> float:
         """Consume an amount and return 0, or return the seconds to wait."""
         meter = self._find_meter(organisation.name)
         if meter is None:
@@ -74,19 +74,19 @@
         self._sharing.update(organisation.name, meter, now)
         return meter.take(amount, now)
 
-    def spend(self, organisation: Organisation, amount: float) -> None:
+    def charge(self, organisation: Organisation, amount: float) -> None:
         """Charge an amount without a check; a negative amount is a refund."""
         meter = self._find_meter(organisation.name)
         if meter is not None:
             meter.spend(amount)
 
-    def describe(self, organisation: Organisation) -> UseNow | None:
+    def describe(self, organisation: Organisation) -> CurrentUse | None:
         """Return an organisation's current use of its allowance, or None."""
         meter = self._meters.get(organisation.name)
         if meter is None:
             return None
         now = self._kernel.clock.now()
-        return UseNow(
+        return CurrentUse(
             meter.share.part,
             meter.spent,
             meter.demand.measure(now),
@@ -119,7 +119,7 @@
 
     # Usage reports
 
-    def list_own(self) -> list[Use]:
+    def list_local(self) -> list[Use]:
         """Return the use that this process reports."""
         now = self._kernel.clock.now()
         self._update_metrics(now)
@@ -130,13 +130,13 @@
                 uses.append(Use(name, round(meter.spent, 2), round(demand, 2)))
         return uses
 
-    def note_news(self, states: list[FleetState], asked_at: float) -> None:
+    def apply_states(self, states: list[FleetState], asked_at: float) -> None:
         """Apply the aggregator's answer to the report sent at ``asked_at``."""
         self._sharing.note_news(states, asked_at)
 
     def _update_metrics(self, now: float) -> None:
         demand = lambda item: item[1].demand.measure(now)
         largest = sorted(self._meters.items(), key=demand, reverse=True)
-        for name, meter in largest[:MOST_MEASURED]:
+        for name, meter in largest[:MAX_METRIC_ORGANISATIONS]:
             share = meter.share.part
             self._measures.set("roadlift_allowance_part", share, name)
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -42,10 +42,10 @@
             configuration=configuration,
             configuration_age=_round_age(access_state.age) if access_state else None,
             organisation=access_state.organisation if access_state else None,
-            share=round(use.part, 4) if use else None,
+            share=round(use.share, 4) if use else None,
             used=round(use.used) if use else None,
             demand=round(use.demand) if use else None,
-            news_age=_round_age(use.news_age) if use else None,
+            news_age=_round_age(use.update_age) if use else None,
             left_out=self._left_out.pop(code, 0),
         )
 
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -87,12 +87,12 @@
         if not self._leases.list_held():
             self._report_to_aggregator(now)
             return
-        uses = self._allowances.list_own()
+        uses = self._allowances.list_local()
         self._allowances.fleet.note_member(self._peer, self._kernel.stamp, uses, now)
         self._services.note_member(self._peer, self._services.list_own())
         self._send_totals(now)
         states = self._allowances.fleet.describe(self._peer, now)
-        self._allowances.note_news(states, now)
+        self._allowances.apply_states(states, now)
         self._services.note_news(self._services.list_all())
         self._limits.note_news(self._list_limits(now), now)
 
@@ -103,7 +103,7 @@
                 self._send_usage(self._last_source, [], [], 0.0, True)
             self._last_source = address
         if address:
-            uses = [list(use) for use in self._allowances.list_own()]
+            uses = [list(use) for use in self._allowances.list_local()]
             services = [list(load) for load in self._services.list_own()]
             self._send_usage(address, uses, services, now, False)
 
@@ -185,7 +185,7 @@
         if message.address != self._subscription.source:
             return
         states = [read_fields(FleetState, one) for one in message.organisations]
-        self._allowances.note_news(states, message.asked_at)
+        self._allowances.apply_states(states, message.asked_at)
         self._services.note_news(_read_loads(message.services))
 
     def _handle_limits(self, sender: str, message: LimitNews) -> None:
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -111,7 +111,7 @@
 
 def _ignore_allowances() -> None:
     """Let in whatever organisations ask for."""
-    Allowances.take = lambda self, organisation, amount: 0.0
+    Allowances.acquire = lambda self, organisation, amount: 0.0
 
 
 def _ignore_leaving() -> None:
