--- a/roadlift/instance/placement.py
+++ b/roadlift/instance/placement.py
@@ -112,7 +112,7 @@
         now = self._kernel.clock.now()
         usable = self._list_unreserved(service, excluded, now)
         usable = usable or self._list_last_resort(service, excluded)
-        zone = self._service_loads.spread.choose_zone(service, usable, now)
+        zone = self._service_loads.balancer.choose_zone(service, usable, now)
         if zone is not None:
             usable = [one for one in usable if one.zone == zone] or usable
         local_zone = self._kernel.settings.zone
@@ -129,7 +129,7 @@
         """
         usable = self._list_below_limit(service, excluded, now)
         unreserved = [one for one in usable if not self._limits.is_spared(one.id)]
-        fill = self._service_loads.spread.measure_fill(service, unreserved, now)
+        fill = self._service_loads.balancer.measure_fill(service, unreserved, now)
         return unreserved if unreserved and fill < SPARE_FILL else usable
 
     def _list_below_limit(
@@ -170,17 +170,17 @@
         ``objective`` seconds.
         """
         now = self._kernel.clock.now()
-        self._service_loads.find_own(service).note_asked(now)
+        self._service_loads.get_local(service).note_asked(now)
         usable = self._list_below_limit(service, set(), now)
         if not usable:
             return None
-        return self._service_loads.spread.refuse(service, usable, objective, now)
+        return self._service_loads.balancer.refuse(service, usable, objective, now)
 
     def has_spare_slots(self, service: str) -> bool:
         """Return whether a plain service has spare slots for retries."""
         now = self._kernel.clock.now()
         usable = self._list_below_limit(service, set(), now)
-        fill = self._service_loads.spread.measure_fill(service, usable, now)
+        fill = self._service_loads.balancer.measure_fill(service, usable, now)
         return fill < SPARE_FILL
 
     def choose_engine(
@@ -344,7 +344,7 @@
         self.health.begin(endpoint.id, self._kernel.clock.now())
         if call.model is None:
             now = self._kernel.clock.now()
-            self._service_loads.find_own(endpoint.service).begin(now)
+            self._service_loads.get_local(endpoint.service).begin(now)
             return
         self._update_unread(endpoint, call.tokens_in)
         if call.model.adapter:
@@ -360,7 +360,7 @@
         self.health.end(endpoint.id)
         if call.model is None:
             now = self._kernel.clock.now()
-            self._service_loads.find_own(endpoint.service).end(has_run, now)
+            self._service_loads.get_local(endpoint.service).end(has_run, now)
         if call.model is not None and call.model.adapter:
             self._subscription.note_use(endpoint, call.model, -1)
 
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -14,7 +14,7 @@
 )
 
 # Calls running and calls a second below which a service is not reported.
-LEAST_TOLD = 0.005
+MIN_REPORTED_LOAD = 0.005
 
 LoadsByZone = dict[str, dict[str, ServiceLoad]]
 
@@ -47,7 +47,7 @@
         self._local: dict[str, OwnLoad] = {}
         self._members: dict[str, _Report] = {}
         self._aggregators: dict[str, _Report] = {}
-        self.spread = ServiceSpread(self._zone, random.Random(kernel.stamp))
+        self.balancer = ServiceSpread(self._zone, random.Random(kernel.stamp))
 
     def start(self) -> None:
         """Nothing to start; the work is done for each call."""
@@ -55,7 +55,7 @@
     def close(self) -> None:
         """Nothing to close."""
 
-    def find_own(self, service: str) -> OwnLoad:
+    def get_local(self, service: str) -> OwnLoad:
         """Return the load of a service by this process."""
         load = self._local.get(service)
         if load is None:
@@ -64,7 +64,7 @@
 
     # Usage reports
 
-    def list_own(self) -> list[ZoneLoad]:
+    def list_local(self) -> list[ZoneLoad]:
         """Return the loads that this process reports."""
         now = self._clock.now()
         totals = {
@@ -72,36 +72,36 @@
         }
         return _list_reportable(totals)
 
-    def note_member(self, address: str, loads: Iterable[ZoneLoad]) -> None:
+    def record_member(self, address: str, loads: Iterable[ZoneLoad]) -> None:
         """Record the report of an instance."""
         self._members[address] = _Report(list(loads), self._clock.now())
 
-    def note_other(self, address: str, loads: Iterable[ZoneLoad]) -> None:
+    def record_aggregator(self, address: str, loads: Iterable[ZoneLoad]) -> None:
         """Record the sums that another aggregator reported."""
         self._aggregators[address] = _Report(list(loads), self._clock.now())
 
-    def forget_member(self, address: str) -> None:
+    def remove_member(self, address: str) -> None:
         """Remove an instance that reports to another aggregator now."""
         self._members.pop(address, None)
 
-    def list_sums(self) -> list[ZoneLoad]:
+    def list_member_totals(self) -> list[ZoneLoad]:
         """Return the sums of the members, for other aggregators."""
         totals: LoadsByZone = {}
         self._add(self._members, totals)
         return _list_reportable(totals)
 
-    def list_all(self) -> list[ZoneLoad]:
+    def list_totals(self) -> list[ZoneLoad]:
         """Return the sums of all instances, for the members."""
         totals: LoadsByZone = {}
         self._add(self._members, totals)
         self._add(self._aggregators, totals)
         return _list_reportable(totals)
 
-    def note_news(self, loads: Iterable[ZoneLoad]) -> None:
+    def apply_totals(self, loads: Iterable[ZoneLoad]) -> None:
         """Apply the sums of all instances."""
         totals: LoadsByZone = {}
         _sum_up(loads, totals)
-        self.spread.note_news(totals, self._clock.now())
+        self.balancer.note_news(totals, self._clock.now())
 
     def _add(self, reports: dict[str, _Report], totals: LoadsByZone) -> None:
         """Add up the recent reports, and remove the others."""
@@ -124,5 +124,5 @@
         ZoneLoad(service, zone, *(round(value, 2) for value in load))
         for service, zones in loads.items()
         for zone, load in zones.items()
-        if max(load) >= LEAST_TOLD
+        if max(load) >= MIN_REPORTED_LOAD
     ]
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -89,11 +89,11 @@
             return
         uses = self._allowances.list_local()
         self._allowances.fleet.note_member(self._peer, self._kernel.stamp, uses, now)
-        self._services.note_member(self._peer, self._services.list_own())
+        self._services.record_member(self._peer, self._services.list_local())
         self._send_totals(now)
         states = self._allowances.fleet.describe(self._peer, now)
         self._allowances.apply_states(states, now)
-        self._services.note_news(self._services.list_all())
+        self._services.apply_totals(self._services.list_totals())
         self._limits.note_news(self._list_limits(now), now)
 
     def _report_to_aggregator(self, now: float) -> None:
@@ -104,7 +104,7 @@
             self._last_source = address
         if address:
             uses = [list(use) for use in self._allowances.list_local()]
-            services = [list(load) for load in self._services.list_own()]
+            services = [list(load) for load in self._services.list_local()]
             self._send_usage(address, uses, services, now, False)
 
     def _send_usage(
@@ -128,7 +128,7 @@
             self._kernel.stamp,
             fleet.count_members(),
             [list(use) for use in fleet.list_totals()],
-            [list(load) for load in self._services.list_sums()],
+            [list(load) for load in self._services.list_member_totals()],
         )
         self._transport.send_all(aggregators - {""}, totals)
         limits = [list(limit) for limit in self._permits.list_limits()]
@@ -156,16 +156,16 @@
         address, fleet = message.address, self._allowances.fleet
         if message.is_leaving:
             fleet.forget_member(address)
-            self._services.forget_member(address)
+            self._services.remove_member(address)
             return
         if not self._leases.list_held():
             return
         now = self._kernel.clock.now()
         uses = [read_fields(Use, fields) for fields in message.organisations]
         fleet.note_member(address, message.process, uses, now)
-        self._services.note_member(address, _read_loads(message.services))
+        self._services.record_member(address, _read_loads(message.services))
         states = [list(one) for one in fleet.describe(address, now)]
-        services = [list(load) for load in self._services.list_all()]
+        services = [list(load) for load in self._services.list_totals()]
         answer = SharedStates(self._peer, states, services, message.at)
         self._transport.send(address, answer)
         limits = [list(limit) for limit in self._list_limits(now)]
@@ -179,14 +179,14 @@
         self._allowances.fleet.note_other(
             message.address, message.process, message.members, uses, now
         )
-        self._services.note_other(message.address, _read_loads(message.services))
+        self._services.record_aggregator(message.address, _read_loads(message.services))
 
     def _handle_states(self, sender: str, message: SharedStates) -> None:
         if message.address != self._subscription.source:
             return
         states = [read_fields(FleetState, one) for one in message.organisations]
         self._allowances.apply_states(states, message.asked_at)
-        self._services.note_news(_read_loads(message.services))
+        self._services.apply_totals(_read_loads(message.services))
 
     def _handle_limits(self, sender: str, message: LimitNews) -> None:
         limits = [read_fields(ToldLimit, one) for one in message.limits]
