--- a/benchmarks/allowances.py
+++ b/benchmarks/allowances.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from roadlift.instance.sharing import TELL_PERIOD
+from roadlift.instance.sharing import USAGE_REPORT_INTERVAL
 from roadlift.organisations.fleet import FleetUse, Use
 from roadlift.organisations.shares import Limits, Meter
 from roadlift.organisations.sharing import DemandSharing, EvenSharing, Sharing
@@ -126,7 +126,7 @@
         ]
         lost = rng.sample(range(count), int(count * trouble.lost))
         self._lost = set(lost)
-        self._offsets = [rng.random() * TELL_PERIOD for _ in range(count)]
+        self._offsets = [rng.random() * USAGE_REPORT_INTERVAL for _ in range(count)]
         self._aggregators = [self._make_aggregator() for _ in range(self.ZONES)]
         self._messages: list[tuple[float, Callable[[], None]]] = []
         self._told_at = [float("-inf")] * count
@@ -181,12 +181,12 @@
         self._messages.append((self.now + WAY, call))
 
     def _tell(self) -> None:
-        if self.now - self._summed_at >= TELL_PERIOD:
+        if self.now - self._summed_at >= USAGE_REPORT_INTERVAL:
             self._summed_at = self.now
             for zone in range(self.ZONES):
                 self._tell_others(zone)
         for one in self.instances:
-            is_due = self.now - self._told_at[one.number] >= TELL_PERIOD
+            is_due = self.now - self._told_at[one.number] >= USAGE_REPORT_INTERVAL
             is_lost = self._is_troubled and one.number in self._lost
             if is_due and self.now >= self._offsets[one.number] and not is_lost:
                 self._told_at[one.number] = self.now
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -23,7 +23,7 @@
     SendLedger,
 )
 from roadlift.instance.permits import LEAST_PAUSE, UNHEARD_PAUSE
-from roadlift.instance.sharing import TELL_PERIOD
+from roadlift.instance.sharing import USAGE_REPORT_INTERVAL
 from roadlift.organisations.fleet import FleetUse, Use
 from roadlift.organisations.shares import Limits, Meter
 from roadlift.organisations.sharing import DemandSharing
@@ -117,7 +117,9 @@
         self._fleet.set_allowances({NAME: allowance})
         self._meters = [Meter(allowance, self._bounds, 0.0) for _ in range(count)]
         self._shares = [DemandSharing() for _ in range(count)]
-        self._told_at = [self._rng.random() * -TELL_PERIOD for _ in range(count)]
+        self._told_at = [
+            self._rng.random() * -USAGE_REPORT_INTERVAL for _ in range(count)
+        ]
         self._cut = set(self._rng.sample(range(count), int(count * trouble.cut)))
         self.messages = 0
 
@@ -132,7 +134,7 @@
         is_lost = is_troubled(now) and (
             instance in self._cut or self._rng.random() < self._trouble.lost
         )
-        if now - self._told_at[instance] < TELL_PERIOD or is_lost:
+        if now - self._told_at[instance] < USAGE_REPORT_INTERVAL or is_lost:
             return
         self._told_at[instance] = now
         self.messages += 2
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from roadlift.decisions.spread import NO_LOAD, OwnLoad, ServiceLoad, ServiceSpread
-from roadlift.instance.sharing import TELL_PERIOD
+from roadlift.instance.sharing import USAGE_REPORT_INTERVAL
 from roadlift.relay.upstream import Address
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.selection import choose_least_loaded
@@ -134,7 +134,7 @@
         """Play, and return what became of the calls."""
         for zone, part in PARTS.items():
             self._plan_call(zone, self._rate * part)
-        self._plan(TELL_PERIOD, self._tell)
+        self._plan(USAGE_REPORT_INTERVAL, self._tell)
         while self._events and self._now < LENGTH + 3.0:
             self._now, _, call = heapq.heappop(self._events)
             call()
@@ -193,7 +193,7 @@
             for one in instances:
                 sums[zone] = sums[zone].add(one.load.measure(self._now))
         self._plan(NEWS_DELAY, lambda: self._hear({SERVICE: sums}))
-        self._plan(TELL_PERIOD, self._tell)
+        self._plan(USAGE_REPORT_INTERVAL, self._tell)
 
     def _hear(self, sums: Mapping[str, Mapping[str, ServiceLoad]]) -> None:
         for instances in self._instances.values():
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -26,9 +26,9 @@
     SharedStates,
 )
 
-TELL_PERIOD = 0.25  # Seconds between usage reports.
+USAGE_REPORT_INTERVAL = 0.25  # Seconds between usage reports.
 # Seconds for which limits from another aggregator are used without an update.
-LIMITS_LIFE = 1.2
+LIMITS_TTL = 1.2
 
 
 class _ReceivedLimits(NamedTuple):
@@ -73,7 +73,9 @@
 
     def start(self) -> None:
         """Start to send reports."""
-        self._timer = self._kernel.loop.call_every(TELL_PERIOD, self._send_reports)
+        self._timer = self._kernel.loop.call_every(
+            USAGE_REPORT_INTERVAL, self._send_reports
+        )
 
     def close(self) -> None:
         """Stop sending reports."""
@@ -140,7 +142,7 @@
         """Return the rate limits of all zones' endpoints."""
         limits = self._permits.list_limits()
         for address, received in list(self._aggregator_limits.items()):
-            if now - received.received_at > LIMITS_LIFE:
+            if now - received.received_at > LIMITS_TTL:
                 del self._aggregator_limits[address]
                 continue
             age = now - received.received_at
