--- a/roadlift/instance/progress.py
+++ b/roadlift/instance/progress.py
@@ -1,12 +1,12 @@
-"""Follow how a call comes on: its decisions, its first byte and its pauses."""
+"""Record the progress of a call: its steps, its first byte and its pauses."""
 
 from roadlift.serving.routes import Route
 
-MOST_STEPS = 16  # Decisions of one call that are kept for the logs.
+MAX_STEPS = 16  # Steps of one call that are kept for the log.
 
 
 class Progress:
-    """What became of one call since it came; times are in seconds."""
+    """The progress of one call since it arrived; times are in seconds."""
 
     def __init__(self, began_at: float) -> None:
         self.began_at = began_at
@@ -16,14 +16,14 @@
         self.last_at = began_at
         self.longest_pause = 0.0
 
-    def note_step(self, now: float, step: str, **fields: object) -> None:
-        """Keep a decision for the line that the call's end may write."""
-        if len(self.steps) < MOST_STEPS:
+    def record_step(self, now: float, step: str, **fields: object) -> None:
+        """Record a step for the log line of the call's end."""
+        if len(self.steps) < MAX_STEPS:
             age = round(now - self.began_at, 4)
             self.steps.append({"at": age, "step": step, **fields})
 
-    def note_write(self, now: float) -> None:
-        """Learn that a part of the answer was written to the caller."""
+    def record_write(self, now: float) -> None:
+        """Record that a part of the answer was written to the caller."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -31,24 +31,24 @@
         self.last_at = now
         self.writes += 1
 
-    def note_whole(self, now: float) -> None:
-        """Learn that the answer was written at once."""
+    def record_complete(self, now: float) -> None:
+        """Record that the answer was written in one piece."""
         self.first_at = now
 
     @property
-    def first_after(self) -> float | None:
-        """Return the seconds from the call to the first byte, or None."""
+    def time_to_first_byte(self) -> float | None:
+        """Return the seconds from the arrival to the first byte, or None."""
         return None if self.first_at is None else self.first_at - self.began_at
 
     @property
-    def generation(self) -> float:
+    def generation_time(self) -> float:
         """Return the seconds from the first write to the last."""
         return self.last_at - self.first_at if self.first_at is not None else 0.0
 
     def is_late(self, route: Route) -> bool:
-        """Tell whether the first byte, or one behind it, came too late."""
-        first = self.first_after
+        """Return whether the first byte or a later one was too late."""
+        first = self.time_to_first_byte
         if first is None or first > route.objective:
             return True
-        most = route.event_interval_objective
-        return most is not None and self.longest_pause > most
+        limit = route.event_interval_objective
+        return limit is not None and self.longest_pause > limit
