--- a/roadlift/ownership/__init__.py
+++ b/roadlift/ownership/__init__.py
@@ -1,8 +1,8 @@
 """Own endpoints: load and evict adapters, and grant pins on their copies.
 
-Public surface: ``Book`` decides for one endpoint, ``choose_owner`` tells who
-should own it, and ``messages`` are what owners and holders say.
-docs/internals/ownership.md has the reasons.
+Public API: ``Book`` makes the decisions for one endpoint, ``choose_owner``
+returns which instance should own it, and ``messages`` defines the messages
+between owners and holders. docs/internals/ownership.md explains the design.
 """
 
 from roadlift.ownership.book import Book, Shape, Terms
--- a/roadlift/ownership/book.py
+++ b/roadlift/ownership/book.py
@@ -1,26 +1,27 @@
 """Decide, as the owner of one endpoint, on its loads, evictions and pins.
 
-The book sends and receives nothing itself: it takes messages, answers of
-the endpoint and the time, and returns what is to be sent. Its rules, by the
-names that the specification in roadlift/ownership/specification.py uses:
+``Book`` does no I/O: it is passed messages, the endpoint's answers and the
+current time, and returns the messages and orders to send. It follows these
+rules, by their names in the specification in specification/ownership.py:
 
-* ``evict_unpinned``: a copy is unloaded only while nobody holds a pin on it.
+* ``evict_unpinned``: a copy is unloaded only while no process holds a pin on
+  it.
 * ``evict_proven``: a copy of an earlier epoch is unloaded only when every
   instance that may hold a pin on it has answered the census or is proven
-  dead, and the owner has agreed with the others for a while on which
-  instances there are. No pin lapses by time, since a paused holder can't be
-  stopped.
+  dead, and the owner has agreed with the other instances on the membership
+  for some time. Pins do not expire, because a paused holder cannot be
+  stopped from using its pin when it resumes.
 * ``adopt_fenced``: a copy of an earlier epoch is served from only where the
-  endpoint refuses the earlier owner's orders, or that owner has yielded.
+  endpoint rejects the earlier owner's orders, or that owner has yielded.
 * ``adopt_once``: a copy of an earlier epoch that was not listed when the
-  book was opened is never served from, as an endpoint that has restarted
-  since no longer refuses the earlier owner's orders.
+  record was opened is never served from, because an endpoint that has
+  restarted since no longer rejects the earlier owner's orders.
 * ``step_down``: a copy of a later epoch shows that another process has taken
-  over; the book then gives no order.
-* ``yield_certain``: an epoch is handed over for serving only if no answer to
-  an order was ever lost in it.
+  over; no order is issued from then on.
+* ``yield_certain``: an epoch's copies are handed over for serving only if the
+  answer to every order of that epoch was received.
 * ``newest_pin``: of two pins of one holder on one copy the newer is kept.
-* ``name_once``: each load has a name of its own.
+* ``name_once``: each load creates a copy with a unique name.
 """
 
 import math
@@ -47,22 +48,28 @@
 
 
 class Outgoing(NamedTuple):
-    """A message to the process ``to``."""
+    """A message, and the process that it is sent to."""
 
     to: str
     message: object
 
 
-UNKNOWN = "?"  # Stands for processes that the owner may not have heard of.
-RECALL_LIMIT = 0.5  # Seconds until a recall counts as unanswered.
-LOAD_SMOOTHING = 0.2  # Weight of the latest load in the expected time.
+# Placeholder in ``unproven`` for processes that the owner may not know yet.
+UNKNOWN = "?"
+RECALL_LIMIT = 0.5  # Seconds after which a recall counts as unanswered.
+# Weight of the latest load in the moving average of load times.
+LOAD_SMOOTHING = 0.2
 
 
 TryLoad = Callable[[Waiting], bool]
 
 
 class Shape(NamedTuple):
-    """What an endpoint is: whether it fences, its slots and its batch."""
+    """The fixed properties of an endpoint.
+
+    ``fences`` says whether it rejects orders with an outdated fencing number,
+    ``slots`` is the number of adapter slots, ``width`` the batch size.
+    """
 
     fences: bool
     slots: int
@@ -70,11 +77,12 @@
 
 
 class Terms(NamedTuple):
-    """How a book decides.
+    """The settings by which an owner decides.
 
-    ``silence`` is how long, in seconds, a holder may go without a report
-    until it is asked for one; ``most_orders`` how many orders the endpoint
-    is given at once; ``holds`` how long each class is held back for company.
+    ``silence`` is the time in seconds without a report from a holder after
+    which one is requested, ``most_orders`` the maximum number of concurrent
+    orders at the endpoint, and ``holds`` the time, by priority class, that a
+    load is delayed so that further requests for the model can share it.
     """
 
     evictor: Evictor = AgedFrequencyEvictor()
@@ -90,7 +98,9 @@
 class Book:
     """The owner's record of one endpoint in one epoch.
 
-    ``holder`` is the owning process.
+    ``holder`` is the owning process. ``unproven`` holds the processes that
+    may have pins from earlier epochs: those that have neither answered the
+    census nor been proven dead.
     """
 
     def __init__(
@@ -116,30 +126,30 @@
         self._terms = terms
         self._history = UseHistory()
         self.opened_at = 0.0
-        self._asked: set[str] = set()
-        self._is_in_doubt = False
-        self._loaded_at = -math.inf
-        self._load_seconds = 0.5
+        self._queried: set[str] = set()
+        self._has_unknown_result = False
+        self._load_started_at = -math.inf
+        self._mean_load_seconds = 0.5
         self._serial = 0
-        self._heard_at: dict[str, float] = {}
+        self._last_report_at: dict[str, float] = {}
         self._report_serials: dict[str, int] = {}
         self._early_pins: dict[str, dict[str, Pin]] = {}
         self._ready: dict[str, list[Copy]] = {}
 
-    # Taking over.
+    # Takeover.
 
     def settle(self) -> None:
-        """Learn that no process is unknown that may hold an older pin."""
+        """Record that all processes that may hold older pins are known."""
         self.unproven.discard(UNKNOWN)
 
     def expect_answers(self, members: Iterable[str]) -> None:
-        """Add processes that may hold older pins, each once."""
-        new = [name for name in members if name not in self._asked]
-        self._asked.update(new)
+        """Add processes that may hold older pins; known ones are skipped."""
+        new = [name for name in members if name not in self._queried]
+        self._queried.update(new)
         self.unproven.update(name for name in new if name != self.holder)
 
     def open(self, names: Iterable[str], now: float) -> None:
-        """Take over the copies listed after the fence was raised."""
+        """Take over the copies that were listed after raising the fence."""
         self.opened_at = now
         self.unproven.add(UNKNOWN)
         for name in map(parse_copy_name, names):
@@ -148,12 +158,12 @@
         self._index_ready()
 
     def reconcile(self, names: Iterable[str], asked_at: float, now: float) -> None:
-        """Compare with what the endpoint lists as loaded.
+        """Compare the record with what the endpoint lists as loaded.
 
-        ``asked_at`` is when the list was asked for. A copy that was ready
-        before and is not listed is gone. A copy that is listed and unknown
-        stems from an order whose answer was lost, or of an earlier owner: it
-        is unloaded, never served from.
+        ``asked_at`` is when the list was requested. A copy that was ready
+        before that time and is not listed is gone. A copy that is listed but
+        not in the record comes from an order whose answer was lost, or from
+        an earlier owner: it is unloaded and never served from.
         """
         listed = {name: parse_copy_name(name) for name in names}
         found = [parsed for parsed in listed.values() if parsed is not None]
@@ -170,34 +180,35 @@
         self._index_ready()
 
     def receive_count(self, sender: str, count: Count) -> None:
-        """Take a census answer: the sender's older pins are now known."""
+        """Apply a census answer: the sender's older pins are now known."""
         if count.epoch != self.epoch:
             return
         for name, nonce, running, _ in count.pins:
             note_pin(self._find_pins(name), sender, Pin(nonce, running))
         self.yielded.update(count.yielded)
-        self._asked.add(sender)
+        self._queried.add(sender)
         self.unproven.discard(sender)
         self._index_ready()
 
     def yield_epoch(self) -> list[int]:
-        """End the ownership; return the epochs that end without a doubt.
+        """Give up ownership; return the epochs whose copies are certain.
 
-        With an order whose effect is unknown the next owner must not serve
-        from this epoch's copies where the endpoint does not fence.
+        If the effect of any order is unknown, the list is empty: the next
+        owner must not serve from this epoch's copies at an endpoint that does
+        not fence.
         """
         unsettled = bool(self.orders) or any(
             copy.state is not CopyState.READY for copy in self.copies.values()
         )
         return (
             []
-            if unsettled or self._is_in_doubt
+            if unsettled or self._has_unknown_result
             else [self.epoch, *sorted(self.yielded)]
         )
 
     def remove_dead(self, holder: str) -> None:
-        """Drop the pins of a process that is proven dead."""
-        self._asked.add(holder)
+        """Remove the pins and requests of a process that is proven dead."""
+        self._queried.add(holder)
         self.unproven.discard(holder)
         for pins in self._list_pin_tables():
             pins.pop(holder, None)
@@ -205,41 +216,48 @@
 
     # Pins.
 
-    def acquire(self, sender: str, ask: Acquire, now: float) -> list[Outgoing]:
-        """Answer an asking now, or keep it until a copy is loaded.
+    def acquire(self, sender: str, request: Acquire, now: float) -> list[Outgoing]:
+        """Answer a pin request now, or queue it until a copy is loaded.
 
-        An asking that waits already is one that was sent again: it keeps its
-        place, and its class may have become more urgent.
+        A request that is queued already was sent again: it keeps its position
+        in the queue, and its priority class may have become more urgent.
         """
-        wait = Waiting(sender, ask.nonce, ask.model, ask.priority, now + ask.wait, now)
+        wait = Waiting(
+            sender,
+            request.nonce,
+            request.model,
+            request.priority,
+            now + request.wait,
+            now,
+        )
         if self.waiting.update(wait):
             return []
-        if self.is_full(ask.priority):
-            return [self._refuse(sender, ask, Reason.FULL, 1.0)]
-        copy = self.find_ready(ask.model)
+        if self.is_full(request.priority):
+            return [self._refuse(sender, request, Reason.FULL, 1.0)]
+        copy = self.find_ready(request.model)
         if copy is None:
-            return self._keep_waiting(sender, ask, wait)
-        if self._is_spilling(ask):
-            return [self._refuse(sender, ask, Reason.BUSY)]
-        return [self._grant(copy, sender, ask.nonce, now)]
-
-    def _keep_waiting(self, sender: str, ask: Acquire, wait: Waiting) -> list[Outgoing]:
-        """Queue an asking for a load, unless that would take too long."""
-        expected = self._expect_wait(wait)
-        is_late = expected > self._terms.limits.most_load_wait[ask.priority]
+            return self._enqueue(sender, request, wait)
+        if self._should_spill(request):
+            return [self._refuse(sender, request, Reason.BUSY)]
+        return [self._grant(copy, sender, request.nonce, now)]
+
+    def _enqueue(self, sender: str, request: Acquire, wait: Waiting) -> list[Outgoing]:
+        """Queue a request for a load, unless that would take too long."""
+        expected = self._estimate_wait(wait)
+        is_late = expected > self._terms.limits.most_load_wait[request.priority]
         if is_late or not self.waiting.add(wait):
-            return [self._refuse(sender, ask, Reason.FULL, max(1.0, expected))]
+            return [self._refuse(sender, request, Reason.FULL, max(1.0, expected))]
         return []
 
     def is_full(self, priority: str) -> bool:
-        """Tell whether the endpoint's queue is too long for a class."""
+        """Return whether the endpoint is too full for a priority class."""
         return (
             self.count_running()
             >= self.shape.width * self._terms.limits.full_at[priority]
         )
 
     def release(self, sender: str, message: Release) -> None:
-        """Take a pin back, unless it was granted anew since."""
+        """Remove a released pin, unless it was granted again since."""
         copy = self.copies.get(message.copy)
         if copy is None or sender not in copy.pins:
             return
@@ -248,8 +266,8 @@
             copy.recalled_at = None
 
     def receive_report(self, sender: str, report: Report, now: float) -> None:
-        """Correct the pins of a holder, whatever messages were lost."""
-        self._heard_at[sender] = now
+        """Correct the pins of a holder after messages were lost."""
+        self._last_report_at[sender] = now
         if report.serial <= self._report_serials.get(sender, -1):
             return
         self._report_serials[sender] = report.serial
@@ -263,19 +281,20 @@
                 self.copies[name].use.note(now, uses)
 
     def inquire(self, now: float) -> list[Outgoing]:
-        """Ask holders that have not reported their pins for long.
+        """Request reports from holders whose last report is too old.
 
-        A lost grant, release or last report would else hold a copy for ever.
+        Otherwise a lost grant, release or final report would keep a copy
+        pinned forever.
         """
         holders = self.list_holders()
         out = []
         for holder in sorted(holders):
-            heard = self._heard_at.setdefault(holder, now)
-            if now - heard >= self._terms.silence:
-                self._heard_at[holder] = now
+            reported_at = self._last_report_at.setdefault(holder, now)
+            if now - reported_at >= self._terms.silence:
+                self._last_report_at[holder] = now
                 out.append(Outgoing(holder, Inquire(self.endpoint)))
-        for gone in set(self._heard_at) - holders:
-            del self._heard_at[gone]
+        for gone in set(self._last_report_at) - holders:
+            del self._last_report_at[gone]
         return out
 
     def list_holders(self) -> set[str]:
@@ -283,7 +302,7 @@
         return {name for pins in self._list_pin_tables() for name in pins}
 
     def count_running(self) -> int:
-        """Return the requests that run at the endpoint, as last reported."""
+        """Return the number of running requests, as last reported."""
         return sum(copy.count_running() for copy in self.copies.values())
 
     def find_ready(self, model: str) -> Copy | None:
@@ -294,7 +313,7 @@
     # Loads and evictions.
 
     def expire(self, now: float) -> list[Outgoing]:
-        """Refuse the askings whose time is over."""
+        """Refuse the queued requests whose deadline has passed."""
         return [
             self._refuse_waiting(wait, Reason.EXPIRED)
             for wait in self.waiting.pop_expired(now)
@@ -303,25 +322,25 @@
     def choose_order(
         self, now: float, try_load: TryLoad = lambda wait: True
     ) -> tuple[Order | None, list[Outgoing]]:
-        """Return the next order to give, and pins to ask back for it.
+        """Return the next order to issue, and the recalls that it needs.
 
-        ``try_load`` lets a load start or holds it back. Orders may pass each
-        other on their way: each names a copy of its own, and all of an epoch
-        have one fencing number.
+        ``try_load`` returns whether a load may start now. Orders may arrive
+        out of order: each refers to a different copy, and all orders of an
+        epoch have the same fencing number.
         """
         if self.is_superseded or len(self.orders) >= self._terms.most_orders:
             return None, []
         stray = self._find_stray()
         if stray is not None:
             return self._begin_unload(stray, now), []
-        wait = self._find_next_wait(now)
+        wait = self._find_next_request(now)
         if wait is None:
             return None, []
         if len(self.copies) < self.shape.slots:
             may_load = try_load(wait)
             return (self._begin_load(wait, now) if may_load else None), []
         if self._count_unloads():
-            # A slot will be free soon, for the first who waits.
+            # A slot will be free soon for the first queued request.
             return None, []
         victim = self._choose_victim(now)
         if victim is None:
@@ -333,12 +352,14 @@
     def finish_order(
         self, order: Order, result: OrderResult, now: float
     ) -> list[Outgoing]:
-        """Take the endpoint's answer to an order."""
+        """Apply the endpoint's answer to an order."""
         if self.orders.get(order.copy) != order:
             return []
         del self.orders[order.copy]
         self.is_superseded = self.is_superseded or result is OrderResult.FENCED
-        self._is_in_doubt = self._is_in_doubt or result is OrderResult.UNKNOWN
+        self._has_unknown_result = (
+            self._has_unknown_result or result is OrderResult.UNKNOWN
+        )
         copy = self.copies.get(order.copy)
         if copy is None:
             return []
@@ -348,14 +369,14 @@
         return self._finish_load(copy, result, now)
 
     def may_evict(self, copy: Copy) -> bool:
-        """Tell whether the rules allow to unload ``copy`` now."""
+        """Return whether the rules allow ``copy`` to be unloaded now."""
         if copy.pins or copy.state is CopyState.LOADING:
             return False
         inherited = copy.epoch != self.epoch
         return not (inherited and self.unproven)
 
     def may_serve(self, copy: Copy) -> bool:
-        """Tell whether the rules allow to grant pins on ``copy``."""
+        """Return whether the rules allow pins to be granted on ``copy``."""
         if copy.state is not CopyState.READY:
             return False
         return (
@@ -370,7 +391,7 @@
         copy.pins = self._early_pins.pop(copy.name, {})
 
     def _find_pins(self, name: str) -> dict[str, Pin]:
-        """Return the pins of a copy, also of one not listed yet."""
+        """Return the pins of a copy, which may not be listed yet."""
         copy = self.copies.get(name)
         if copy is not None:
             return copy.pins
@@ -385,15 +406,15 @@
             self._drop(copy)
             self.evictions += 1
         else:
-            # It may be gone or not: it is unloaded again, never served.
+            # The copy may still be loaded: unload it again, never serve it.
             copy.enter(CopyState.UNLOADING, now)
 
     def _finish_load(
         self, copy: Copy, result: OrderResult, now: float
     ) -> list[Outgoing]:
         if result is OrderResult.DONE:
-            self._load_seconds += LOAD_SMOOTHING * (
-                now - copy.since - self._load_seconds
+            self._mean_load_seconds += LOAD_SMOOTHING * (
+                now - copy.since - self._mean_load_seconds
             )
             copy.enter(CopyState.READY, now)
             self._index_ready()
@@ -408,8 +429,8 @@
             for wait in self.waiting.pop_model(copy.model)
         ]
 
-    def _is_spilling(self, ask: Acquire) -> bool:
-        return not ask.last and self.count_running() >= self.shape.width
+    def _should_spill(self, request: Acquire) -> bool:
+        return not request.last and self.count_running() >= self.shape.width
 
     def _grant(self, copy: Copy, to: str, nonce: int, now: float) -> Outgoing:
         pin = copy.pins.get(to, Pin(0, 0))
@@ -432,59 +453,59 @@
         ]
 
     def _refuse(
-        self, to: str, ask: Acquire, reason: str, retry_after: float = 0.0
+        self, to: str, request: Acquire, reason: str, retry_after: float = 0.0
     ) -> Outgoing:
-        return Outgoing(to, Refuse(self.endpoint, ask.nonce, reason, retry_after))
+        return Outgoing(to, Refuse(self.endpoint, request.nonce, reason, retry_after))
 
     def _refuse_waiting(self, wait: Waiting, reason: str) -> Outgoing:
         return Outgoing(wait.holder, Refuse(self.endpoint, wait.nonce, reason, 1.0))
 
     def _begin_load(self, wait: Waiting, now: float) -> Order:
         self._serial += 1
-        self._loaded_at = now
+        self._load_started_at = now
         name = CopyName(wait.model, self.epoch, self._serial)
         use = self._history.find(wait.model, now)
         copy = Copy(name, CopyState.LOADING, now, use)
         self.copies[copy.name] = copy
         order = Order(LOAD, copy.name, wait.model, self.epoch, wait.priority)
-        return self._keep_order(order)
+        return self._record_order(order)
 
     def _begin_unload(self, copy: Copy, now: float) -> Order:
         copy.enter(CopyState.UNLOADING, now)
         self._index_ready()
-        return self._keep_order(Order(UNLOAD, copy.name, copy.model, self.epoch))
+        return self._record_order(Order(UNLOAD, copy.name, copy.model, self.epoch))
 
-    def _keep_order(self, order: Order) -> Order:
+    def _record_order(self, order: Order) -> Order:
         self.orders[order.copy] = order
         return order
 
-    def _expect_wait(self, wait: Waiting) -> float:
-        """Return how long a load is expected to take, in seconds."""
+    def _estimate_wait(self, wait: Waiting) -> float:
+        """Return the expected time until a request's load ends, in s."""
         ahead = self.waiting.count_ahead(wait)
         if ahead is None:
-            # Its model is waited for already, and costs no load of its own.
+            # An equally urgent request already needs the same load.
             return 0.0
         rounds = (ahead + len(self.orders)) / self._terms.most_orders
-        return (1.0 + rounds) * self._load_seconds
+        return (1.0 + rounds) * self._mean_load_seconds
 
-    def _find_next_wait(self, now: float) -> Waiting | None:
-        """Return who waits first for a model that is not being loaded.
+    def _find_next_request(self, now: float) -> Waiting | None:
+        """Return the first queued request that needs a new load.
 
-        No load is made for a class whose requests the endpoint is too full
-        to run.
+        No load should be made for a priority class for which the endpoint is
+        too full to run requests, but `LoadQueue.peek` does not evaluate this.
         """
         loading = {order.model for order in self.orders.values() if order.verb == LOAD}
         if not len(self.waiting):
             return None
         full = {name for name in RANKS if self.is_full(name)}
-        is_quiet = now - self._loaded_at >= QUIET
-        return self.waiting.peek(now, loading, full, is_quiet)
+        is_idle = now - self._load_started_at >= QUIET
+        return self.waiting.peek(now, loading, full, is_idle)
 
     def _count_unloads(self) -> int:
         return sum(order.verb == UNLOAD for order in self.orders.values())
 
     def _find_stray(self) -> Copy | None:
-        """Return a copy that can't be served from and may be unloaded."""
+        """Return a copy that cannot be served from and may be unloaded."""
         for copy in self.copies.values():
             is_ordered = copy.name in self.orders
             if not is_ordered and not self.may_serve(copy) and self.may_evict(copy):
@@ -492,10 +513,10 @@
         return None
 
     def _choose_victim(self, now: float) -> Copy | None:
-        """Return the idle copy worth least, whose pins may have to come back.
+        """Return the least valuable idle copy; its pins may need a recall.
 
-        A copy that is worth less but pinned goes before one that is worth
-        more and happens to be unpinned.
+        A pinned copy of less value is chosen before an unpinned copy of more
+        value.
         """
         idle = [
             copy
@@ -505,13 +526,13 @@
             and not copy.count_running()
             and (self.may_evict(copy) or self._may_recall(copy, now))
         ]
-        return self._pick(idle, now)
+        return self._choose_least_valuable(idle, now)
 
     def _may_recall(self, copy: Copy, now: float) -> bool:
-        """Tell whether a pinned copy's holders may still give it back.
+        """Return whether the holders of a pinned copy may still release it.
 
-        A holder that has not answered for a while is passed over, or a
-        paused one would keep every other copy from being evicted.
+        After the time-out of a recall the copy is skipped, since a paused
+        holder would otherwise block the eviction of all other copies.
         """
         if not copy.pins:
             return False
@@ -523,13 +544,16 @@
         recall = Recall(self.endpoint, copy.name)
         return [Outgoing(holder, recall) for holder in copy.pins]
 
-    def _pick(self, copies: list[Copy], now: float) -> Copy | None:
-        wanted = self.waiting.list_models()
-        spare = [copy for copy in copies if copy.model not in wanted] or copies
-        if not spare:
+    def _choose_least_valuable(self, copies: list[Copy], now: float) -> Copy | None:
+        queued_models = self.waiting.list_models()
+        candidates = [
+            copy for copy in copies if copy.model not in queued_models
+        ] or copies
+        if not candidates:
             return None
         return min(
-            spare, key=lambda copy: self._terms.evictor.measure_worth(copy.use, now)
+            candidates,
+            key=lambda copy: self._terms.evictor.measure_worth(copy.use, now),
         )
 
     def _drop(self, copy: Copy) -> None:
--- a/roadlift/ownership/copies.py
+++ b/roadlift/ownership/copies.py
@@ -1,4 +1,4 @@
-"""Record a copy of an adapter at an endpoint, and the pins on it."""
+"""Represent a copy of an adapter at an endpoint, and the pins on it."""
 
 import enum
 from typing import NamedTuple
@@ -8,7 +8,7 @@
 
 
 class CopyState(enum.Enum):
-    """How far a copy is."""
+    """The state of a copy at its endpoint, as far as the owner knows."""
 
     LOADING = "loading"
     READY = "ready"
@@ -16,14 +16,14 @@
 
 
 class Pin(NamedTuple):
-    """A holder's pin: the asking it answered and its running requests."""
+    """A holder's pin: the nonce of its request, and its running requests."""
 
     nonce: int
     running: int
 
 
 class Copy:
-    """An adapter's version as loaded at the endpoint."""
+    """A version of an adapter that is loaded at an endpoint."""
 
     __slots__ = (
         "name",
@@ -49,21 +49,22 @@
         self.recalled_at: float | None = None
 
     def enter(self, state: CopyState, now: float) -> None:
-        """Change the state at ``now``."""
+        """Change the state, and record the time of the change."""
         self.state = state
         self.since = now
 
     def count_running(self) -> int:
-        """Return the requests that the holders last reported."""
+        """Return the number of running requests that holders last reported."""
         return sum(pin.running for pin in self.pins.values())
 
 
-def note_pin(pins: dict[str, Pin], holder: str, said: Pin) -> None:
-    """Take what a holder said of its pin, but keep a newer grant's nonce.
+def note_pin(pins: dict[str, Pin], holder: str, reported: Pin) -> None:
+    """Record a pin that a holder reported, but keep a newer grant's nonce.
 
-    A grant may be on its way while the holder's older word arrives; with the
-    older nonce, giving back the older pin would lose the newer one.
+    A grant may be in flight when an older report of the holder arrives. If
+    the older nonce were stored, a release of the older pin would also remove
+    the newer one.
     """
     known = pins.get(holder)
-    nonce = max(said.nonce, known.nonce) if known else said.nonce
-    pins[holder] = Pin(nonce, said.running)
+    nonce = max(reported.nonce, known.nonce) if known else reported.nonce
+    pins[holder] = Pin(nonce, reported.running)
--- a/roadlift/ownership/messages.py
+++ b/roadlift/ownership/messages.py
@@ -1,8 +1,9 @@
-"""Define what owners of endpoints and holders of pins say to each other.
+"""Define the messages between owners of endpoints and holders of pins.
 
-Field names are the same throughout: ``endpoint`` is an endpoint's name,
-``copy`` the name under which an adapter is loaded there, ``epoch`` the
-owner's fencing number, ``nonce`` the number of a holder's asking.
+Fields with the same name have the same meaning in all messages: ``endpoint``
+is an endpoint's name, ``copy`` the name under which an adapter is loaded
+there, ``epoch`` the owner's fencing number, and ``nonce`` the number of a
+holder's pin request.
 """
 
 from typing import NamedTuple
@@ -12,10 +13,10 @@
 
 @message("acq")
 class Acquire(NamedTuple):
-    """Ask the owner for a pin on a copy of ``model``.
+    """Request a pin on a copy of ``model`` from the owner.
 
-    ``wait`` is how long, in seconds, the holder will take the answer;
-    ``last`` tells that no other endpoint will be asked.
+    ``wait`` is the time in seconds for which the holder accepts an answer;
+    ``last`` says that the holder will not try another endpoint.
     """
 
     endpoint: str
@@ -28,9 +29,10 @@
 
 @message("grant")
 class Grant(NamedTuple):
-    """Give a pin; it never lapses, and lasts until it is given back.
+    """Grant a pin, which does not expire and lasts until it is released.
 
-    ``running`` and ``width`` tell how full the endpoint's batch is.
+    ``running`` is the number of running requests at the endpoint and
+    ``width`` its batch size.
     """
 
     endpoint: str
@@ -43,7 +45,7 @@
 
 @message("refuse")
 class Refuse(NamedTuple):
-    """Give no pin; ``reason`` is one of the Reason values."""
+    """Refuse a pin; ``reason`` is one of the `Reason` values."""
 
     endpoint: str
     nonce: int
@@ -53,7 +55,7 @@
 
 @message("release")
 class Release(NamedTuple):
-    """Give back the pin that was granted to ``nonce``."""
+    """Release the pin that was granted to request ``nonce``."""
 
     endpoint: str
     copy: str
@@ -62,7 +64,7 @@
 
 @message("recall")
 class Recall(NamedTuple):
-    """Ask a holder to give a pin back when its requests are done."""
+    """Ask a holder to release a pin when its requests are done."""
 
     endpoint: str
     copy: str
@@ -70,18 +72,19 @@
 
 @message("inquire")
 class Inquire(NamedTuple):
-    """Ask a holder for a report, as none has come for long."""
+    """Request a report from a holder whose last report is too old."""
 
     endpoint: str
 
 
 @message("report")
 class Report(NamedTuple):
-    """Tell the owner which pins a holder has.
+    """Report to the owner which pins a holder has.
 
-    Askings below ``floor`` are over: a grant to one that is not listed will
-    never be used. ``pins`` lists copy, nonce, running requests, and the uses
-    since the last report beyond the one that the grant was for.
+    Requests with a nonce below ``floor`` have ended: a grant to one of them
+    that is not listed will never be used. Each entry of ``pins`` holds the
+    copy, the nonce, the number of running requests, and the number of uses
+    since the last report, without the use that the grant was requested for.
     """
 
     endpoint: str
@@ -92,7 +95,7 @@
 
 @message("level")
 class Level(NamedTuple):
-    """Answer a report: how many requests run at the endpoint."""
+    """Answer a report with the number of running requests."""
 
     endpoint: str
     running: int
@@ -100,7 +103,7 @@
 
 @message("census")
 class Census(NamedTuple):
-    """Ask, as a new owner, who has pins from earlier epochs."""
+    """Ask, as the new owner, for the pins granted in earlier epochs."""
 
     endpoint: str
     epoch: int
@@ -108,10 +111,10 @@
 
 @message("count")
 class Count(NamedTuple):
-    """Answer a census and promise to use no grant of an earlier epoch.
+    """Answer a census, and promise to accept no grant of an earlier epoch.
 
     ``yielded`` lists the epochs in which the sender owned the endpoint, and
-    in which it will give no order and no grant any more.
+    in which it will issue no further order or grant.
     """
 
     endpoint: str
@@ -121,7 +124,7 @@
 
 
 class Reason:
-    """Why an owner gives no pin."""
+    """The reasons for which an owner refuses a pin."""
 
     NOT_OWNER = "not_owner"
     BUSY = "busy"
--- a/roadlift/ownership/names.py
+++ b/roadlift/ownership/names.py
@@ -1,16 +1,16 @@
 """Name the copies of adapters that are loaded at an endpoint.
 
-``adapter@version~epoch.serial``: each load has a name of its own, so that a
-late or stale order names a copy that nobody serves from any more, also at an
-engine that ignores fencing numbers, and a late request to a copy that was
-evicted is refused by name.
+Names have the form ``adapter@version~epoch.serial``, unique to each load. A
+late or stale order thus refers to a copy that is no longer served from, even
+at an engine that ignores fencing numbers, and a late request to an evicted
+copy is rejected because its name is unknown.
 """
 
 from typing import NamedTuple
 
 
 class CopyName(NamedTuple):
-    """The parts of a copy's name."""
+    """The components of a copy's name."""
 
     model: str
     epoch: int
@@ -21,10 +21,10 @@
 
 
 def parse_copy_name(name: str) -> CopyName | None:
-    """Return the parts of a name, or None where it is not one of ours."""
-    model, mark, rest = name.rpartition("~")
-    epoch, dot, serial = rest.partition(".")
-    if not (mark and dot):
+    """Parse the name of a copy; return None if it has another form."""
+    model, tilde, numbers = name.rpartition("~")
+    epoch, dot, serial = numbers.partition(".")
+    if not (tilde and dot):
         return None
     try:
         return CopyName(model, int(epoch, 16), int(serial, 16))
--- a/roadlift/ownership/orders.py
+++ b/roadlift/ownership/orders.py
@@ -1,4 +1,4 @@
-"""Define the orders that an owner gives to its endpoint."""
+"""Define the orders that an owner sends to its endpoint."""
 
 import enum
 from typing import NamedTuple
@@ -8,9 +8,10 @@
 
 
 class Order(NamedTuple):
-    """An order to the endpoint: load or unload ``copy``.
+    """An order to load or unload ``copy`` at the endpoint.
 
-    ``priority`` is the class for which a load is made.
+    ``fence`` is the owner's fencing number; ``priority`` is the priority
+    class of the request for which a load is made.
     """
 
     verb: str
@@ -21,10 +22,11 @@
 
 
 class OrderResult(enum.Enum):
-    """How an order ended.
+    """The result of an order.
 
-    REFUSED did not take effect; FENCED neither, as another owner has a
-    higher number; of UNKNOWN nobody knows, and it may take effect later.
+    A REFUSED order did not take effect. Neither did a FENCED one, because
+    another owner has a higher fencing number. An UNKNOWN order may have taken
+    effect, or may still do so later.
     """
 
     DONE = "done"
--- a/roadlift/policy/__init__.py
+++ b/roadlift/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decide on placement, loads, eviction and admission; pure and clock-free."""
+"""Decide on placement, loads, eviction and admission, without any I/O."""
--- a/roadlift/policy/admission.py
+++ b/roadlift/policy/admission.py
@@ -1,15 +1,16 @@
-"""Bound what is admitted, by class, so that overload is refused early."""
+"""Limit admission by priority class, so that overload is refused early."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
 
 
 class EndpointLimits(NamedTuple):
-    """When an endpoint's owner refuses a class at once, by class.
+    """Limits, by priority class, above which an owner refuses requests.
 
-    ``full_at`` is how many times its width an endpoint may have running and
-    queued; ``most_load_wait`` how many seconds a load, with those before it,
-    may be expected to take. The contracted tail is refused last.
+    ``full_at`` bounds the running and queued requests as a multiple of the
+    endpoint's batch size; ``most_load_wait`` bounds the expected time in
+    seconds of a load and those ahead of it. Interactive requests, whose tail
+    latency is contracted, are refused last as an endpoint fills up.
     """
 
     full_at: Mapping[str, float]
@@ -23,30 +24,30 @@
 
 
 class Limits(NamedTuple):
-    """The limits of one instance, in requests."""
+    """Limits of one instance; ``most_running`` is a number of requests."""
 
     most_running: int
 
 
 class Admission:
-    """Count the requests of an instance, in all and by service."""
+    """Count the running requests of an instance, in total and by service."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
         self._by_service: dict[str, int] = {}
         self.running = 0
 
-    def admit(self, service: str, most: int) -> bool:
-        """Take a request of ``service``, which may have ``most`` at once."""
+    def admit(self, service: str, limit: int) -> bool:
+        """Admit a request of ``service``, which may have ``limit`` at once."""
         count = self._by_service.get(service, 0)
-        if self.running >= self._limits.most_running or count >= most:
+        if self.running >= self._limits.most_running or count >= limit:
             return False
         self._by_service[service] = count + 1
         self.running += 1
         return True
 
     def leave(self, service: str) -> None:
-        """Count a request of ``service`` as over."""
+        """Record that a request of ``service`` has ended."""
         self.running -= 1
         self._by_service[service] -= 1
         if not self._by_service[service]:
--- a/roadlift/policy/eviction.py
+++ b/roadlift/policy/eviction.py
@@ -1,4 +1,4 @@
-"""Measure what a loaded copy is worth keeping, for eviction."""
+"""Compute the value of keeping a loaded copy, to choose what to evict."""
 
 import math
 from typing import Protocol
@@ -6,12 +6,12 @@
 from roadlift.core.registry import Registry
 
 evictors: Registry = Registry("evictor")
-MOST_MODELS = 512  # Models whose use one endpoint's owner remembers.
-HALF_LIFE = 60.0  # Seconds in which a use loses half its weight.
+MOST_MODELS = 512  # Models for which an endpoint's owner keeps usage data.
+HALF_LIFE = 60.0  # Seconds after which a use has half its weight.
 
 
 class ModelUse:
-    """How a model was used: its last use and an ageing count of uses."""
+    """A model's usage: its last use and an exponentially decaying count."""
 
     __slots__ = ("last", "count")
 
@@ -20,52 +20,52 @@
         self.count = 0.0
 
     def note(self, now: float, uses: int = 1) -> None:
-        """Count uses at ``now``, in seconds."""
+        """Record a number of uses at the time ``now``, in seconds."""
         self.count = uses + self.measure_count(now, HALF_LIFE)
         self.last = now
 
     def measure_count(self, now: float, half_life: float) -> float:
-        """Return the count of uses, each aged by its half-life."""
+        """Return the count of uses, decayed by the half-life up to ``now``."""
         return self.count * math.exp2((self.last - now) / half_life)
 
 
 class UseHistory:
-    """The uses of models at one endpoint, also after their eviction.
+    """The usage of models at one endpoint, kept after their eviction.
 
-    A count that began anew with each load would not tell a model that comes
-    back again and again from one that comes once.
+    If counts were reset at each load, a model that is loaded repeatedly could
+    not be distinguished from one that is used once.
     """
 
-    def __init__(self, most: int = MOST_MODELS) -> None:
-        self._most = most
+    def __init__(self, max_models: int = MOST_MODELS) -> None:
+        self._max_models = max_models
         self._uses: dict[str, ModelUse] = {}
 
     def find(self, model: str, now: float) -> ModelUse:
-        """Return the use of a model, which begins now if it is new."""
+        """Return the usage of a model; a new entry starts at ``now``."""
         use = self._uses.get(model)
         if use is None:
-            if len(self._uses) >= self._most:
-                self._forget(now)
+            if len(self._uses) >= self._max_models:
+                self._prune(now)
             use = self._uses[model] = ModelUse(now)
         return use
 
-    def _forget(self, now: float) -> None:
-        """Drop the half that was used least."""
-        worth = lambda item: item[1].measure_count(now, HALF_LIFE)
-        kept = sorted(self._uses.items(), key=worth, reverse=True)
-        self._uses = dict(kept[: self._most // 2])
+    def _prune(self, now: float) -> None:
+        """Remove the half of the models with the lowest counts."""
+        get_count = lambda item: item[1].measure_count(now, HALF_LIFE)
+        kept = sorted(self._uses.items(), key=get_count, reverse=True)
+        self._uses = dict(kept[: self._max_models // 2])
 
 
 class Evictor(Protocol):
-    """How copies compare; the one worth least is evicted."""
+    """An eviction policy: the copy of the lowest value is evicted."""
 
     def measure_worth(self, use: ModelUse, now: float) -> float:
-        """Return the worth of a copy at ``now``; any scale."""
+        """Return the value of a copy at ``now``, on any scale."""
 
 
 @evictors.register("recency")
 class RecencyEvictor:
-    """Evict the copy that was used longest ago."""
+    """Evict the least recently used copy."""
 
     def measure_worth(self, use: ModelUse, now: float) -> float:
         """Return the time of the last use."""
@@ -74,8 +74,8 @@
 
 @evictors.register("aged_frequency")
 class AgedFrequencyEvictor:
-    """Evict the copy whose uses, halved each half-life, count least."""
+    """Evict the copy with the lowest decayed count of uses."""
 
     def measure_worth(self, use: ModelUse, now: float) -> float:
-        """Return the aged count of uses."""
+        """Return the decayed count of uses."""
         return use.measure_count(now, HALF_LIFE)
--- a/roadlift/policy/placement.py
+++ b/roadlift/policy/placement.py
@@ -1,19 +1,19 @@
-"""Rank the endpoints at which a model is looked for and loaded.
+"""Rank the endpoints at which a model is searched for and loaded.
 
-Every instance ranks alike, from the bundle alone, so that no directory of
-locations is kept or sent: the first of the ranking is where an adapter is
-loaded, the next ones are where it spills over.
+Every instance computes the same ranking from the bundle alone, so that no
+directory of locations is kept or sent. An adapter is loaded at the first
+endpoint of its ranking, and spills over to the next ones.
 """
 
 import bisect
 import hashlib
 from collections.abc import Iterable, Sequence
 
-POINTS = 64  # Points of an endpoint on the ring.
+POINTS = 64  # Points of each endpoint on the hash ring.
 
 
 class RingPlacer:
-    """A ring of hashed points; a look-up costs the log of their number."""
+    """A consistent-hash ring; a look-up takes O(log n) for n points."""
 
     def __init__(self, endpoints: Iterable[str]) -> None:
         points = [
@@ -27,7 +27,7 @@
         self._count = len(points) // POINTS
 
     def rank(self, model: str, count: int) -> Sequence[str]:
-        """Return the endpoints met first behind the model's point."""
+        """Return the first ``count`` endpoints after the model's point."""
         count = min(count, self._count)
         found: list[str] = []
         index = bisect.bisect(self._hashes, _hash(model))
--- a/roadlift/policy/routing.py
+++ b/roadlift/policy/routing.py
@@ -1,7 +1,7 @@
-"""Plan where a request goes: on a pinned copy, or which owners to ask.
+"""Choose a pinned copy for a request, or the endpoints to request a pin at.
 
-Routers are pure: they are told which endpoints there are, which of them hold
-a pinned copy of the model, and how full each seems from here.
+Routers do no I/O: they are passed the endpoints, those of them at which this
+instance has a pin on the model, and an estimate of how full each one is.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -11,43 +11,48 @@
 from roadlift.policy.placement import RingPlacer
 
 routers: Registry = Registry("router")
-CANDIDATES = 3  # Endpoints that are asked for one model.
-SPILL_AT = 1.0  # Fill of a batch at which another endpoint is asked.
+CANDIDATES = 3  # Endpoints at which a pin is requested for one model.
+SPILL_AT = 1.0  # Fill of a batch from which another endpoint is tried.
 
 Fill = Callable[[str], float]
 
 
 class Plan(NamedTuple):
-    """Use the pin at ``use`` where it is given; else ask in this order."""
+    """Where a request goes.
+
+    ``use`` is the endpoint whose pin to use; if it is None, a pin is requested
+    at the endpoints of ``ask``, in this order.
+    """
 
     use: str | None
     ask: Sequence[str]
 
 
 class Router(Protocol):
-    """How the endpoints for a request are chosen."""
+    """Chooses the endpoints for a request."""
 
     def __init__(self, endpoints: Iterable[str]) -> None:
-        """Take the endpoints that may be used."""
+        """Set the endpoints that may be used."""
 
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
-        """Plan a request; ``fill`` of an endpoint is 1 for a full batch."""
+        """Plan a request; ``fill`` returns 1 for an endpoint's full batch."""
 
 
 @routers.register("ring")
 class RingRouter:
-    """Use a pinned copy with room; else ask along the ring.
+    """Use a pinned copy with capacity; else try endpoints along the ring.
 
-    Each adapter has a place of its own on the ring, so that the endpoints
-    together hold as many different ones as they have slots. Only a model
-    whose pinned endpoints are full gets a further copy, at the next place.
+    Each adapter is hashed to its own position on the ring, so that the
+    endpoints together hold as many different adapters as they have slots.
+    Only a model whose pinned endpoints are full gets another copy, at the
+    next endpoint on the ring.
     """
 
     def __init__(self, endpoints: Iterable[str]) -> None:
         self._placer = RingPlacer(endpoints)
 
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
-        """Plan by pins first and by the ring next."""
+        """Plan by pins first, then by the ring."""
         best = min(pinned, key=fill, default=None)
         if best is not None and fill(best) < SPILL_AT:
             return Plan(best, ())
@@ -56,13 +61,13 @@
 
 @routers.register("hash")
 class HashRouter:
-    """Use the first place on the ring alone: plain consistent hashing."""
+    """Use only the first endpoint on the ring: plain consistent hashing."""
 
     def __init__(self, endpoints: Iterable[str]) -> None:
         self._placer = RingPlacer(endpoints)
 
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
-        """Plan the model's only place."""
+        """Plan the model's only endpoint."""
         ranked = self._placer.rank(model, 1)
         if ranked and ranked[0] in pinned:
             return Plan(ranked[0], ())
@@ -71,25 +76,25 @@
 
 @routers.register("least_loaded")
 class LeastLoadedRouter:
-    """Use the endpoint that seems emptiest, whatever it holds."""
+    """Use the least loaded endpoint, whichever adapters it has."""
 
     def __init__(self, endpoints: Iterable[str]) -> None:
         self._endpoints = sorted(endpoints)
-        self._turn = 0
+        self._rotation = 0
 
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
-        """Plan the emptiest endpoint; equals take turns."""
+        """Plan the least loaded endpoint; ties are broken in rotation."""
         count = len(self._endpoints)
-        self._turn += 1
-        turned = [self._endpoints[(self._turn + i) % count] for i in range(count)]
-        best = min(turned, key=fill, default=None)
+        self._rotation += 1
+        rotated = [self._endpoints[(self._rotation + i) % count] for i in range(count)]
+        best = min(rotated, key=fill, default=None)
         if best is None or best in pinned:
             return Plan(best, ())
         return Plan(None, (best,))
 
 
 class BaseRouter:
-    """Routes a model among the engines of its base model."""
+    """Routes a request among the engines of its model's base model."""
 
     def __init__(
         self, routers_by_base: Mapping[str, Router], find_base: Callable[[str], str]
@@ -98,7 +103,7 @@
         self._find_base = find_base
 
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
-        """Plan a request; without an engine of its base there is none."""
+        """Plan a request; the plan is empty if the base has no engine."""
         router = self._routers.get(self._find_base(model))
         if router is None:
             return Plan(None, ())
--- a/tests/steps/policy_steps.py
+++ b/tests/steps/policy_steps.py
@@ -115,7 +115,7 @@
 def step_small_book(context):
     """Make a book that has learnt that loads take a second."""
     context.book = _make_book(1, 4, most_orders=1)
-    context.book._load_seconds = 1.0
+    context.book._mean_load_seconds = 1.0
     context.now = 10.0
 
 
@@ -305,7 +305,7 @@
     for second in range(seconds + 1):
         context.now = 100.0 + second
         if context.is_busy:
-            context.book._loaded_at = context.now
+            context.book._load_started_at = context.now
         assert context.book.choose_order(context.now) == (None, [])
 
 
