--- a/tests/steps/deployment_steps.py
+++ b/tests/steps/deployment_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start deployments on a paused clock, and their faults."""
+"""Steps that start simulated deployments, and inject faults."""
 
 from behave import given, step, then, when
 
@@ -10,10 +10,12 @@
 from tests.support.deployment import Deployment
 
 
-@given("a network with {lost:g} lost, {doubled:g} doubled and {jitter:g} s of jitter")
-def step_network(context, lost, doubled, jitter):
-    """Choose how messages travel in this scenario."""
-    context.delivery = Delivery(0.002, jitter, lost, doubled)
+@given(
+    "a network with {lost:g} lost, {duplicated:g} doubled and {jitter:g} s of jitter"
+)
+def step_network(context, lost, duplicated, jitter):
+    """Set how messages are delivered in this scenario."""
+    context.delivery = Delivery(0.002, jitter, lost, duplicated)
 
 
 @given(
@@ -29,7 +31,7 @@
     " {engines:d} {kind} engine"
 )
 def step_deployment(context, zones, instances, engines, kind):
-    """Start a deployment and roll its bundle."""
+    """Start a deployment and roll out its bundle."""
     delivery = getattr(context, "delivery", Delivery())
     context.deployment = Deployment(3, delivery)
     context.deployment.start(zones, instances, engines, kind == "fencing")
@@ -62,7 +64,7 @@
 
 @step("{seconds:g} s pass")
 def step_pass(context, seconds):
-    """Move the clock."""
+    """Advance the clock."""
     context.deployment.hub.advance(seconds)
 
 
@@ -74,7 +76,7 @@
 
 @when("the engine's owner is {fault}")
 def step_fault(context, fault):
-    """Bring a fault upon the owner of the first engine."""
+    """Inject a fault into the owner of the first engine."""
     deployment, hub = context.deployment, context.deployment.hub
     owner = _find_owner(context)
     context.victim = owner
@@ -90,12 +92,12 @@
         hub.kill(owner)
         hub.advance(1.0)
         hub.start(owner, hub.zones[owner])
-    elif fault == "paused in the midst of an eviction":
+    elif fault == "paused during an eviction":
         _call_all(context, 10, 13)
         hub.advance_until(lambda: _has_unload(deployment, owner), 20.0)
         hub.pause(owner)
     else:
-        raise AssertionError(f"no such fault: {fault}")
+        raise AssertionError(f"unknown fault of an owner: {fault}")
 
 
 def _has_unload(deployment, owner):
@@ -106,38 +108,38 @@
 
 @when("the paused instance goes on")
 def step_resume(context):
-    """Let the paused instance go on."""
+    """Resume the paused instance."""
     context.deployment.hub.resume(context.victim)
 
 
 @when("the paused instance is killed")
 def step_kill_paused(context):
-    """End the paused instance."""
+    """Kill the paused instance."""
     context.deployment.hub.kill(context.victim)
 
 
-@when("an engine {trouble}")
-def step_trouble(context, trouble):
-    """Bring trouble upon the first engine."""
+@when("an engine {fault}")
+def step_engine_fault(context, fault):
+    """Inject a fault into the first engine."""
     hub = context.deployment.hub
     engine = hub.get_engine(sorted(hub.engine_names)[0])
-    if trouble == "restarts":
+    if fault == "restarts":
         engine.restart()
-    elif trouble == "restarts twice":
+    elif fault == "restarts twice":
         engine.restart()
         hub.advance(0.3)
         engine.restart()
-    elif trouble == "fails its next 3 loads":
+    elif fault == "fails its next 3 loads":
         engine.state.faults["fail_loads"] = 3
-    elif trouble == "loses its next 3 replies":
+    elif fault == "loses its next 3 replies":
         engine.state.faults["lose_order_replies"] = 3
     else:
-        raise AssertionError(f"no such trouble: {trouble}")
+        raise AssertionError(f"unknown fault of an engine: {fault}")
 
 
 @when("zone-b is cut off {extent} for {seconds:d} s with calls on both sides")
 def step_cut(context, extent, seconds):
-    """Cut a zone off, send calls on both sides, and join it again."""
+    """Partition a zone, send calls on both sides, and reconnect it."""
     hub = context.deployment.hub
     hub.cut_zones = {"zone-b"}
     if "platform" in extent:
@@ -153,7 +155,7 @@
 
 @when("the instance that owns nothing is paused during a call of {seconds:d} s")
 def step_pause_holder(context, seconds):
-    """Pause an instance while a long call of its own runs."""
+    """Pause an instance that is not the owner during its long call."""
     deployment, hub = context.deployment, context.deployment.hub
     owner = _find_owner(context)
     (context.victim,) = set(hub.kernels) - {owner}
@@ -168,7 +170,7 @@
 
 @then("every call from an instance that runs is answered")
 def step_all_answered(context):
-    """Check the calls whose instance is still the one that took them."""
+    """Check the calls whose instance still runs and had no fault."""
     hub = context.deployment.hub
     hub.advance(20.0)
     for name, caller in context.sent_by:
@@ -178,7 +180,7 @@
 
 @then("every call is answered or says what is known of it")
 def step_all_final(context):
-    """Check that no call is left without a final answer."""
+    """Check that every call has an answer or error, and 80% succeeded."""
     context.deployment.hub.advance(40.0)
     for name, caller in context.sent_by:
         assert caller.is_whole or caller.error, name
@@ -194,7 +196,7 @@
 
 @then("exactly one running instance owns each engine")
 def step_one_owner(context):
-    """Check that the owners agree after a while."""
+    """Check that each engine has a single owner within 30 s."""
     deployment = context.deployment
     for endpoint in deployment.hub.engine_names:
         holds = lambda endpoint=endpoint: len(deployment.list_owners(endpoint)) == 1
@@ -203,7 +205,7 @@
 
 @then("a new call to each model is answered")
 def step_new_calls(context):
-    """Check that the deployment serves after the trouble."""
+    """Check that the deployment answers calls after the fault."""
     before = len(context.sent_by)
     _call_all(context, 0, 6)
     context.deployment.hub.advance(20.0)
@@ -211,9 +213,9 @@
         assert caller.is_whole, (name, caller.error)
 
 
-@then("no pin is held for ever")
+@then("no pin is held forever")
 def step_no_pin(context):
-    """Check that owners and holders both forget idle pins."""
+    """Check that owners and holders both release idle pins."""
     deployment = context.deployment
     deployment.hub.delivery = Delivery()
     deployment.hub.advance(30.0)
@@ -224,9 +226,9 @@
             assert not pinned, pinned
 
 
-@then("a call in each zone was answered during the cut")
+@then("a call in each zone was answered during the partition")
 def step_served_alone(context):
-    """Check that each side served during the cut."""
+    """Check that each side answered calls during the partition."""
     zones = {
         context.deployment.hub.zones[name]
         for name, caller in context.during
@@ -237,7 +239,7 @@
 
 @then("all instances see each other alive within {limit:d} s")
 def step_all_alive(context, limit):
-    """Check that the membership has healed."""
+    """Check that the memberships of all instances agree again."""
     deployment = context.deployment
     names = list(deployment.hub.kernels)
     deployment.hub.advance_until(
@@ -246,7 +248,7 @@
     )
 
 
-@then("the paused instance's copy is still there")
+@then("the paused instance's copy is still loaded")
 def step_copy_there(context):
     """Check that the pinned copy was not evicted."""
     engine = context.deployment.hub.get_engine("engine-a0")
@@ -255,7 +257,7 @@
 
 @then("the paused instance's copy is gone")
 def step_copy_gone(context):
-    """Check that a proof of death frees the copy."""
+    """Check that the copy is evicted once its holder is proven dead."""
     engine = context.deployment.hub.get_engine("engine-a0")
     assert context.copy not in engine.state.copies
 
@@ -281,7 +283,7 @@
 
 @when("an instance that owns nothing has a call of {seconds:d} s")
 def step_long_call(context, seconds):
-    """Let a holder that owns nothing run a long call."""
+    """Start a long call at an instance that is not the owner."""
     deployment, hub = context.deployment, context.deployment.hub
     owner = _find_owner(context)
     holder = next(name for name in sorted(hub.kernels) if name != owner)
@@ -292,19 +294,19 @@
     engine.run_time = 0.2
 
 
-@when("an instance starts whose seeds are silent for {seconds:g} s")
+@when("an instance starts whose seeds do not answer for {seconds:g} s")
 def step_silent_seeds(context, seconds):
-    """Start an instance to which no roster gets through at first."""
+    """Start an instance that receives no roster at first."""
     deployment, hub = context.deployment, context.deployment.hub
     kernel = hub.start("entry-a9", "zone-a")
     transport = kernel._parts["transport"]
     receive, opens = transport.receive, hub.clock.now() + seconds
 
-    def hear(data: bytes) -> None:
+    def receive_late(data: bytes) -> None:
         if b"all" not in data[:60] or hub.clock.now() >= opens:
             receive(data)
 
-    transport.receive = hear
+    transport.receive = receive_late
     context.early = []
     for _ in range(int(seconds * 10) - 1):
         hub.advance(0.1)
@@ -313,9 +315,9 @@
     context.caller = deployment.call("entry-a9", "m1@1")
 
 
-@then("it owns nothing and asks for nothing until it knows the others")
+@then("it owns nothing and requests nothing until it knows the others")
 def step_owned_late(context):
-    """Check that it owned nothing early, and serves afterwards."""
+    """Check that it owned nothing at first, and answers calls later."""
     assert context.early == [], context.early
     context.deployment.settle(20.0)
     assert context.caller.is_whole, context.caller.error
--- a/tests/steps/policy_steps.py
+++ b/tests/steps/policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the policy and its bench."""
+"""Steps on the placement policy and its benchmark."""
 
 import json
 from unittest.mock import patch
@@ -16,7 +16,7 @@
 from roadlift.policy.placement import RingPlacer
 from roadlift.policy.routing import RingRouter
 
-EVERY = [*POLICIES, BOUND]
+ALL_POLICIES = [*POLICIES, BOUND]
 
 
 def _run(scenario, deployment, seconds, policies):
@@ -26,38 +26,38 @@
 
 @when("{scenario} runs for {seconds:d} s at {deployment} with every policy")
 def step_run(context, scenario, seconds, deployment):
-    """Run a scenario with the policies and the bound."""
-    context.results = _run(scenario, deployment, seconds, EVERY)
+    """Run a scenario with all policies and the clairvoyant planner."""
+    context.results = _run(scenario, deployment, seconds, ALL_POLICIES)
 
 
 def _get_stall(context, policy="roadlift"):
     return context.results[policy]["classes"]["interactive"]["stall"]
 
 
-@then("the default's interactive p99 stall is at most {most:g} s")
-def step_p99(context, most):
-    """Check the bound on the tail."""
-    assert 0 < _get_stall(context)["p99"] <= most, _get_stall(context)
+@then("the default's interactive p99 stall is at most {limit:g} s")
+def step_p99(context, limit):
+    """Check the bound on the tail latency."""
+    assert 0 < _get_stall(context)["p99"] <= limit, _get_stall(context)
 
 
-@then("its total interactive stall is at most {ratio:g} times the bound's")
+@then("its total interactive stall is at most {ratio:g} times the lower bound")
 def step_ratio(context, ratio):
     """Check the ratio to the clairvoyant planner."""
     found = _get_stall(context)["total"] / _get_stall(context, BOUND)["total"]
     assert found <= ratio, found
 
 
-@then("it is ahead of both baselines in interactive p99 stall")
+@then("its interactive p99 stall is shorter than with both baselines")
 def step_ahead(context):
-    """Compare the tails."""
+    """Compare the tail latencies."""
     own = _get_stall(context)["p99"]
     for name in ("least_loaded_lru", "consistent_hash"):
         assert own < _get_stall(context, name)["p99"], (name, own)
 
 
-@then("its batch efficiency is at most 2 points behind either baseline")
+@then("its batch efficiency is at most 2 points below either baseline")
 def step_efficiency(context):
-    """Compare how full the batches ran."""
+    """Compare the mean fill of the batches."""
     own = context.results["roadlift"]["batch_efficiency"]
     for name in ("least_loaded_lru", "consistent_hash"):
         other = context.results[name]["batch_efficiency"]
@@ -66,70 +66,71 @@
 
 @when("steady runs for {seconds:d} s at association with the {worse} policy")
 def step_worse(context, seconds, worse):
-    """Run a worse policy."""
+    """Run a policy that performs worse."""
     context.results = _run("steady", "association", seconds, [worse])
     context.worse = worse
 
 
-@then("its interactive p99 stall is above {least:g} s")
-def step_above(context, least):
-    """Check that the bound would fail."""
-    assert _get_stall(context, context.worse)["p99"] > least
+@then("its interactive p99 stall is above {limit:g} s")
+def step_above(context, limit):
+    """Check that the policy exceeds the bound."""
+    assert _get_stall(context, context.worse)["p99"] > limit
 
 
 @when("steady runs for {seconds:d} s at rullivaht with every policy, twice")
 def step_twice(context, seconds):
-    """Run everything twice."""
+    """Run all policies twice."""
     context.runs = [
-        json.dumps(_run("steady", "rullivaht", seconds, EVERY), sort_keys=True)
+        json.dumps(_run("steady", "rullivaht", seconds, ALL_POLICIES), sort_keys=True)
         for _ in range(2)
     ]
 
 
-@then("both runs gave the same bytes")
+@then("the results of both runs are byte-identical")
 def step_same(context):
-    """Compare the runs."""
+    """Compare the results of the runs."""
     assert context.runs[0] == context.runs[1]
 
 
-# Books.
+# Endpoint records.
 
 
-def _make_book(slots, width, **more):
+def _make_record(slots, width, **more):
     return Book("e", "owner", 1 << 20, Shape(True, slots, width), Terms(**more))
 
 
-def _ask(book, nonce, model, priority, now, holder="h", last=True):
-    ask = Acquire("e", nonce, model, priority, 300.0, last)
-    return book.acquire(holder, ask, now)
+def _request(record, nonce, model, priority, now, holder="h", last=True):
+    request = Acquire("e", nonce, model, priority, 300.0, last)
+    return record.acquire(holder, request, now)
 
 
-def _load(book, model, now, holder="h", nonce=1):
-    _ask(book, nonce, model, "interactive", now, holder)
-    order, _ = book.choose_order(now)
+def _load(record, model, now, holder="h", nonce=1):
+    _request(record, nonce, model, "interactive", now, holder)
+    order, _ = record.choose_order(now)
     assert order.verb == LOAD
-    return book.finish_order(order, OrderResult.DONE, now)
+    return record.finish_order(order, OrderResult.DONE, now)
 
 
-@given("a book with 1 slot, a batch of 4 and loads of 1 s")
-def step_small_book(context):
-    """Make a book that has learnt that loads take a second."""
-    context.book = _make_book(1, 4, most_orders=1)
-    context.book._mean_load_seconds = 1.0
+@given("an endpoint record with 1 slot, a batch of 4 and loads of 1 s")
+def step_small_record(context):
+    """Create a record that expects loads to take 1 s."""
+    context.record = _make_record(1, 4, most_orders=1)
+    context.record._mean_load_seconds = 1.0
     context.now = 10.0
 
 
-@when("{count:d} {priority} askings for different models come")
-def step_askings(context, count, priority):
-    """Ask for many models at the same moment."""
+@when("{count:d} {priority} requests for different models arrive")
+def step_requests(context, count, priority):
+    """Request many models at the same time."""
     context.answers = [
-        _ask(context.book, n, f"m{n}@1", priority, context.now) for n in range(count)
+        _request(context.record, n, f"m{n}@1", priority, context.now)
+        for n in range(count)
     ]
 
 
-@then("the first {taken:d} wait and the others are refused as full at once")
+@then("the first {taken:d} are queued and the others refused as full at once")
 def step_taken(context, taken):
-    """Check who waits."""
+    """Check which requests are queued."""
     for index, answer in enumerate(context.answers):
         if index < taken:
             assert answer == [], (index, answer)
@@ -137,32 +138,32 @@
             assert answer[0].message.reason == Reason.FULL, (index, answer)
 
 
-@then("each refusal says when to come back")
+@then("each refusal has a time to retry after")
 def step_retry_after(context):
-    """Check the times to come back."""
+    """Check the times to retry after."""
     refusals = [answer[0].message for answer in context.answers if answer]
-    assert refusals and all(one.retry_after >= 1.0 for one in refusals)
+    assert refusals and all(refusal.retry_after >= 1.0 for refusal in refusals)
 
 
-@given("a book with {running:d} requests running in a batch of {width:d}")
-def step_busy_book(context, running, width):
-    """Make a book whose holder reports running requests."""
-    context.book = _make_book(2, width)
-    (granted,) = _load(context.book, "m@1", 1.0)
+@given("an endpoint record with {running:d} running requests in a batch of {width:d}")
+def step_busy_record(context, running, width):
+    """Create a record to which a holder reports running requests."""
+    context.record = _make_record(2, width)
+    (granted,) = _load(context.record, "m@1", 1.0)
     pin = [granted.message.copy, 1, running, 0]
-    context.book.receive_report("h", Report("e", 1, 2, [pin]), 1.0)
+    context.record.receive_report("h", Report("e", 1, 2, [pin]), 1.0)
 
 
-@when("a {priority} asking for the loaded model comes")
+@when("a {priority} request for the loaded model arrives")
 def step_ask_loaded(context, priority):
-    """Ask for the loaded model, with other endpoints left to ask."""
-    answer = _ask(context.book, 9, "m@1", priority, 2.0, "other", last=False)
+    """Request the loaded model, with other endpoints left to try."""
+    answer = _request(context.record, 9, "m@1", priority, 2.0, "other", last=False)
     context.answer = answer[0].message
 
 
 @then("it is granted")
 def step_granted(context):
-    """Check that a pin was given."""
+    """Check that a pin was granted."""
     assert isinstance(context.answer, Grant), context.answer
 
 
@@ -178,13 +179,13 @@
 
 @given("a ring of {count:d} endpoints")
 def step_ring(context, count):
-    """Make a router."""
+    """Create a router."""
     context.router = RingRouter([f"e{index}" for index in range(count)])
 
 
-@when("a model is pinned at its first {pinned:d} places with fills of {fills}")
+@when("a model is pinned at its first {pinned:d} endpoints with fills of {fills}")
 def step_pinned(context, pinned, fills):
-    """Plan with some pins."""
+    """Plan a request with some pins."""
     context.places = RingPlacer([f"e{i}" for i in range(9)]).rank("m@1", 3)
     pins = context.places[:pinned]
     values = [float(text) for text in fills.split()] if pinned else []
@@ -192,23 +193,23 @@
     context.plan = context.router.plan("m@1", pins, by_name.__getitem__)
 
 
-@then("the plan is to ask 3 places")
+@then("the plan is to request at 3 endpoints")
 def step_plan_ask(context):
-    """Check that owners are asked in the ring's order."""
+    """Check that pins are requested in the order of the ring."""
     assert context.plan.use is None
     assert list(context.plan.ask) == list(context.places)
 
 
-@then("the plan is to use the {place}")
-def step_plan_use(context, place):
-    """Check that the emptiest pin is used."""
-    index = {"1st": 0, "2nd": 1}[place]
+@then("the plan is to use the {position}")
+def step_plan_use(context, position):
+    """Check that the pin at the least loaded endpoint is used."""
+    index = {"1st": 0, "2nd": 1}[position]
     assert context.plan.use == context.places[index], context.plan
 
 
-@when("one of {count:d} endpoints leaves the ring")
+@when("one of {count:d} endpoints is removed from the ring")
 def step_leave_ring(context, count):
-    """Rank models before and after an endpoint goes."""
+    """Rank models before and after the removal of an endpoint."""
     names = [f"e{index}" for index in range(count)]
     before, after = RingPlacer(names), RingPlacer(names[1:])
     context.firsts = [
@@ -217,49 +218,49 @@
     context.count = count
 
 
-@then("at most {most:d}% of 2000 models have another first place")
-def step_moved(context, most):
-    """Check how many moved."""
+@then("at most {limit:d}% of 2000 models have another first endpoint")
+def step_moved(context, limit):
+    """Check how many models moved."""
     moved = sum(a != b for a, b in context.firsts)
-    assert 0 < moved <= 20 * most, moved
+    assert 0 < moved <= 20 * limit, moved
 
 
-@then("no endpoint is the first place of more than twice its part")
+@then("no endpoint is the first of more than twice its share of models")
 def step_spread(context):
-    """Check that the ring is even enough."""
+    """Check that models are balanced over the ring."""
     firsts = [before for before, _ in context.firsts]
-    most = max(firsts.count(name) for name in set(firsts))
-    assert most <= 2 * len(firsts) / context.count, most
+    highest = max(firsts.count(name) for name in set(firsts))
+    assert highest <= 2 * len(firsts) / context.count, highest
 
 
 # Eviction.
 
 
-@given("a full book whose copies were used {uses} times, of which {pinned} run")
-def step_full_book(context, uses, pinned):
+@given("a full record with copies used {uses} times, of which {pinned} run")
+def step_full_record(context, uses, pinned):
     """Load models, use them, and leave some running."""
     counts = [int(text) for text in uses.split()]
-    book = context.book = _make_book(len(counts), 8)
+    record = context.record = _make_record(len(counts), 8)
     context.copies = []
     for index, count in enumerate(counts):
-        (granted,) = _load(book, f"m{index}@1", 1.0, nonce=index + 1)
-        copy = book.copies[granted.message.copy]
+        (granted,) = _load(record, f"m{index}@1", 1.0, nonce=index + 1)
+        copy = record.copies[granted.message.copy]
         copy.use.note(2.0, count)
         context.copies.append(copy.name)
         if pinned != str(index):
             copy.pins.clear()
 
 
-@when("another model is asked for")
+@when("another model is requested")
 def step_another(context):
-    """Ask for a model that needs a slot."""
-    _ask(context.book, 99, "other@1", "interactive", 3.0)
-    context.order, _ = context.book.choose_order(3.0)
+    """Request a model that needs a slot."""
+    _request(context.record, 99, "other@1", "interactive", 3.0)
+    context.order, _ = context.record.choose_order(3.0)
 
 
 @then("copy {index:d} is evicted")
 def step_evicted(context, index):
-    """Check the victim."""
+    """Check which copy is evicted."""
     assert context.order.verb == UNLOAD
     assert context.order.copy == context.copies[index], context.order
 
@@ -269,7 +270,7 @@
 
 @given("loads that took {seconds:g} s each after one of 1 s")
 def step_loads(context, seconds):
-    """Let a gate see some loads, with one of each class running."""
+    """Record loads at a gate, the first one as the fastest."""
     gate = context.gate = LoadGate()
     for index, took in enumerate([1.0] + [seconds] * 6):
         wait = Waiting("h", index, "m@1", "interactive", 999.0, 0.0)
@@ -279,50 +280,50 @@
 
 @when("a {priority} load is due that has waited {waited:g} s")
 def step_due(context, priority, waited):
-    """Ask the gate."""
+    """Ask the gate whether the load may start."""
     wait = Waiting("h", 9, "m@1", priority, 999.0, 100.0 - waited)
     context.may = context.gate.try_start(wait, 100.0)
 
 
 @then("it {may} start")
 def step_may_start(context, may):
-    """Check the gate."""
+    """Check the gate's answer."""
     assert context.may == (may == "may"), context.gate.measure_slowness(100.0)
 
 
-@given("a {kind} book with 4 slots and one batch asking")
-def step_batch_book(context, kind):
-    """Ask for one batch request, where others are loaded or none are."""
-    context.book = _make_book(4, 8)
+@given("a record of a {kind} endpoint with 4 slots and one batch request")
+def step_batch_record(context, kind):
+    """Queue a batch request; a busy endpoint loads other models as well."""
+    context.record = _make_record(4, 8)
     context.is_busy = kind == "busy"
     context.now = 100.0
-    assert _ask(context.book, 1, "m@1", "batch", context.now) == []
+    assert _request(context.record, 1, "m@1", "batch", context.now) == []
 
 
 @then("no load is ordered for {seconds:d} s")
 def step_no_load(context, seconds):
-    """Check each second of the hold; a busy endpoint loads other models."""
+    """Check each second of the delay; a busy endpoint loads other models."""
     for second in range(seconds + 1):
         context.now = 100.0 + second
         if context.is_busy:
-            context.book._load_started_at = context.now
-        assert context.book.choose_order(context.now) == (None, [])
+            context.record._load_started_at = context.now
+        assert context.record.choose_order(context.now) == (None, [])
 
 
-@when("another batch asking for the model comes and {seconds:d} s pass")
+@when("another batch request for the model arrives and {seconds:d} s pass")
 def step_company(context, seconds):
-    """Ask again from another holder."""
-    _ask(context.book, 7, "m@1", "batch", context.now, "other")
+    """Request the model from another holder."""
+    _request(context.record, 7, "m@1", "batch", context.now, "other")
     context.now += seconds
 
 
 @then("one load is ordered, and both are granted when it is done")
 def step_one_load(context):
-    """Check that one load serves both."""
-    order, _ = context.book.choose_order(context.now)
+    """Check that one load serves both requests."""
+    order, _ = context.record.choose_order(context.now)
     assert order.verb == LOAD
-    assert context.book.choose_order(context.now) == (None, [])
-    granted = context.book.finish_order(order, OrderResult.DONE, context.now + 1)
+    assert context.record.choose_order(context.now) == (None, [])
+    granted = context.record.finish_order(order, OrderResult.DONE, context.now + 1)
     assert {(out.to, out.message.nonce) for out in granted} == {("h", 1), ("other", 7)}
 
 
@@ -331,7 +332,7 @@
 
 @when("a decision is made {times:d} times at {endpoints:d} endpoints")
 def step_decide(context, times, endpoints):
-    """Count the steps of a plan: hashes taken and places looked at."""
+    """Count the operations of a plan: hashes and reads of the ring."""
     router = RingRouter([f"e{index}" for index in range(endpoints)])
     calls = {"hash": 0}
     real = placement._hash
@@ -341,12 +342,12 @@
         return real(text)
 
     placer = router._placer
-    looked = _CountingList(placer._names)
-    placer._names = looked
+    counted = _CountingList(placer._names)
+    placer._names = counted
     with patch.object(placement, "_hash", count_hash):
         for index in range(times):
             router.plan(f"ad-{index}@1", (), lambda name: 0.0)
-    context.steps = (calls["hash"] + looked.reads) / times
+    context.steps = (calls["hash"] + counted.reads) / times
 
 
 class _CountingList(list):
@@ -359,15 +360,15 @@
         return super().__getitem__(index)
 
 
-@then("it took at most {steps:d} comparisons of names")
+@then("it took at most {steps:d} hashes and reads of the ring")
 def step_steps(context, steps):
-    """Check the mean count."""
+    """Check the mean number of operations."""
     assert 1 < context.steps <= steps, context.steps
 
 
 @when("{requests:d} requests run under a pin, one after the other")
 def step_run_under(context, requests):
-    """Begin each request before the one before it ends."""
+    """Begin each request before the previous one ends."""
     table = PinTable()
     nonce = table.ask("e", "m@1", 99.0)
     pin = table.accept(Grant("e", nonce, "m@1~1.1", 1, 1, 8), 1.0)
@@ -381,8 +382,8 @@
 
 @then("the pin is {kept} when the last one ends")
 def step_pin_kept(context, kept):
-    """Check what became of the pin, and that a kept one goes later."""
-    if kept == "given back":
+    """Check the pin, and that a kept one is released later."""
+    if kept == "released":
         assert context.release is not None and context.pins.count_pins() == 0
         return
     assert context.release is None
