--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -13,9 +13,9 @@
 from roadlift.idempotency.claims import _Record
 from roadlift.membership.detector import Detector
 from roadlift.membership.members import Member
-from roadlift.ownership.book import Book, Shape
 from roadlift.ownership.messages import Acquire, Grant
 from roadlift.ownership.orders import OrderResult
+from roadlift.ownership.record import EndpointProperties, EndpointRecord
 from roadlift.pins.table import PinTable
 from roadlift.policy.routing import RingRouter
 
@@ -81,9 +81,9 @@
     return detector
 
 
-def make_book(name: str = "runner-00001") -> Book:
+def make_book(name: str = "runner-00001") -> EndpointRecord:
     """Return a book of an endpoint with all its copies loaded."""
-    book = Book(name, "own#1", 1 << 20, Shape(True, COPIES, 8))
+    book = EndpointRecord(name, "own#1", 1 << 20, EndpointProperties(True, COPIES, 8))
     for index in range(COPIES):
         model = f"adapter-{index:06d}@1"
         ask = Acquire(name, index + 1, model, "interactive", 9.0, True)
--- a/benchmarks/capacity/processor.py
+++ b/benchmarks/capacity/processor.py
@@ -19,10 +19,10 @@
 from roadlift.endpoints.events import EventFrames
 from roadlift.endpoints.openai import OpenAiEngine
 from roadlift.membership.messages import Ping
-from roadlift.ownership.book import Book, Shape
 from roadlift.ownership.election import choose_owner
 from roadlift.ownership.messages import Acquire, Release
 from roadlift.ownership.orders import OrderResult
+from roadlift.ownership.record import EndpointProperties, EndpointRecord
 from roadlift.pins.table import PinTable
 from roadlift.policy.routing import RingRouter
 from roadlift.relay.upstream import Answer
@@ -129,7 +129,9 @@
     """Time a pin's whole life at both ends, by the copies at the endpoint."""
     points = []
     for copies in (2, 4, 8, 16):
-        book = Book("e", "own#1", 1 << 20, Shape(True, copies, 64))
+        book = EndpointRecord(
+            "e", "own#1", 1 << 20, EndpointProperties(True, copies, 64)
+        )
         models = [f"adapter-{index:06d}@1" for index in range(copies)]
         for model in models:
             ask = Acquire("e", 0, model, "interactive", 9.0, True)
--- a/benchmarks/policies/clairvoyant.py
+++ b/benchmarks/policies/clairvoyant.py
@@ -15,7 +15,7 @@
 from benchmarks.policies.engine import Events, WeightStore
 from benchmarks.policies.scenarios import PREFILL, Arrival, Deployment, Scenario
 from benchmarks.policies.world import Outcome
-from roadlift.policy.loads import RANKS
+from roadlift.policy.loads import PRIORITY_RANKS
 
 NEVER = float("inf")
 
@@ -62,7 +62,7 @@
             self._note(arrival)
             return
         self._waiting.setdefault(arrival.model, []).append(arrival)
-        item = (RANKS[arrival.priority], next(self._serial), arrival.model)
+        item = (PRIORITY_RANKS[arrival.priority], next(self._serial), arrival.model)
         heapq.heappush(self._queue, item)
         self._load_next()
 
--- a/benchmarks/policies/engine.py
+++ b/benchmarks/policies/engine.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from benchmarks.policies.scenarios import PREFILL, STEP, Deployment
-from roadlift.policy.loads import RANKS
+from roadlift.policy.loads import PRIORITY_RANKS
 
 
 class Events:
@@ -114,7 +114,7 @@
             self._count(1)
             enter()
         else:
-            item = (RANKS[priority], next(self._serial), enter, tokens)
+            item = (PRIORITY_RANKS[priority], next(self._serial), enter, tokens)
             heapq.heappush(self._queue, item)
 
     def count_crowd(self) -> int:
--- a/benchmarks/policies/world.py
+++ b/benchmarks/policies/world.py
@@ -7,14 +7,31 @@
 from benchmarks.policies.engine import EngineModel, Events, WeightStore
 from benchmarks.policies.scenarios import Arrival, Deployment, Scenario
 from roadlift.core.errors import RoadliftError
-from roadlift.ownership.book import Book, Outgoing, Shape, Terms
-from roadlift.ownership.messages import Acquire, Level, Reason, Refuse, Release, Report
+from roadlift.ownership.messages import (
+    Acquire,
+    Level,
+    RefusalReason,
+    Refuse,
+    Release,
+    Report,
+)
 from roadlift.ownership.orders import LOAD, Order, OrderResult
+from roadlift.ownership.record import (
+    EndpointProperties,
+    EndpointRecord,
+    Outgoing,
+    OwnershipPolicy,
+)
 from roadlift.pins.seeker import Seeker, Waiter
 from roadlift.pins.table import HeldPin, PinTable
 from roadlift.policy.admission import DEFAULT_LIMITS, EndpointLimits
 from roadlift.policy.eviction import evictors
-from roadlift.policy.loads import HOLDS, RANKS, LoadGate, Waiting
+from roadlift.policy.loads import (
+    COALESCING_DELAYS,
+    PRIORITY_RANKS,
+    LoadGate,
+    QueuedRequest,
+)
 from roadlift.policy.routing import routers
 
 NEAR_DELAY = 0.0001  # Seconds between instances of a zone.
@@ -26,9 +43,10 @@
 QUEUE_LIMITS = {"interactive": 30.0, "standard": 30.0, "batch": 300.0}
 RESTART_SECONDS = 3.0
 NO_LIMITS = EndpointLimits(
-    dict.fromkeys(RANKS, float("inf")), dict.fromkeys(RANKS, float("inf"))
+    dict.fromkeys(PRIORITY_RANKS, float("inf")),
+    dict.fromkeys(PRIORITY_RANKS, float("inf")),
 )
-NO_HOLDS = dict.fromkeys(HOLDS, 0.0)
+NO_HOLDS = dict.fromkeys(COALESCING_DELAYS, 0.0)
 
 
 class Policy(NamedTuple):
@@ -38,7 +56,7 @@
     router: str
     evictor: str
     gates_loads: bool
-    most_orders: int
+    max_orders: int
     holds_batch: bool
     refuses_early: bool
 
@@ -143,15 +161,15 @@
         self._seeker = Seeker(self, self._table)
         widths = dict.fromkeys(world.names, world.deployment.width)
         self._seeker.route_by(routers.get(world.policy.router)(world.names), widths)
-        self._books: dict[str, Book] = {}
+        self._books: dict[str, EndpointRecord] = {}
         self._incarnations: dict[str, int] = {}
         self._used: set[str] = set()
         self._gate = LoadGate()
         policy = world.policy
-        self._terms = Terms(
+        self._terms = OwnershipPolicy(
             evictors.get(policy.evictor)(),
-            most_orders=policy.most_orders,
-            holds=HOLDS if policy.holds_batch else NO_HOLDS,
+            max_orders=policy.max_orders,
+            coalescing_delays=COALESCING_DELAYS if policy.holds_batch else NO_HOLDS,
             limits=DEFAULT_LIMITS if policy.refuses_early else NO_LIMITS,
         )
         self.loads = 0
@@ -162,8 +180,10 @@
         epoch = self._incarnations.get(endpoint, 0) + 1
         self._incarnations[endpoint] = epoch
         deployment = self._world.deployment
-        shape = Shape(True, deployment.slots, deployment.width)
-        self._books[endpoint] = Book(endpoint, self.name, epoch, shape, self._terms)
+        shape = EndpointProperties(True, deployment.slots, deployment.width)
+        self._books[endpoint] = EndpointRecord(
+            endpoint, self.name, epoch, shape, self._terms
+        )
 
     def start(self, end: float) -> None:
         """Begin the periodic work, up to ``end``."""
@@ -250,7 +270,7 @@
         self._order_next(book)
 
     def _answer_not_owner(self, ask, endpoint: str, holder: str = "") -> None:
-        refusal = Refuse(endpoint, ask.nonce, Reason.TAKING_OVER, 0.1)
+        refusal = Refuse(endpoint, ask.nonce, RefusalReason.TAKING_OVER, 0.1)
         self.send(holder or ask.holder, refusal)
 
     def _send_all(self, outgoing: list[Outgoing]) -> None:
@@ -297,7 +317,7 @@
             self._send_all(book.expire(self._events.now))
             self._order_next(book)
 
-    def _order_next(self, book: Book) -> None:
+    def _order_next(self, book: EndpointRecord) -> None:
         while True:
             order, recalls = book.choose_order(self._events.now, self._try_load)
             self._send_all(recalls)
@@ -305,7 +325,7 @@
                 return
             self._give_order(book, order)
 
-    def _give_order(self, book: Book, order: Order) -> None:
+    def _give_order(self, book: EndpointRecord, order: Order) -> None:
         began = self._events.now
         finish = lambda: self._finish(book, order, began)
         if order.verb == LOAD:
@@ -316,12 +336,12 @@
         self.evictions += 1
         self._events.call_later(UNLOAD_SECONDS, finish)
 
-    def _try_load(self, wait: Waiting) -> bool:
+    def _try_load(self, wait: QueuedRequest) -> bool:
         if not self._world.policy.gates_loads:
             return True
         return self._gate.try_start(wait, self._events.now)
 
-    def _finish(self, book: Book, order: Order, began: float) -> None:
+    def _finish(self, book: EndpointRecord, order: Order, began: float) -> None:
         result = OrderResult.DONE
         if order.verb == LOAD:
             if self._world.policy.gates_loads:
--- a/roadlift/daemon/gateway.py
+++ b/roadlift/daemon/gateway.py
@@ -19,7 +19,7 @@
 from roadlift.daemon.exchange import Call, EngineExchange, Exchange, ServiceExchange
 from roadlift.daemon.status import Status
 from roadlift.http.messages import Received
-from roadlift.policy.admission import Admission, Limits
+from roadlift.policy.admission import Admission, AdmissionLimits
 from roadlift.relay.caller import Caller
 
 ENGINE_PATHS = ("/v1/completions", "/v1/chat/completions")
@@ -44,7 +44,7 @@
         self._bundles = kernel.get(Bundles)
         self._status = kernel.get(Status)
         self._exchanges: set[Exchange] = set()
-        self.admission = Admission(Limits(self._settings.most_running))
+        self.admission = Admission(AdmissionLimits(self._settings.most_running))
         self.burn = BurnRecord()
         self.is_closed = False
         self._status.attach(self)
@@ -79,7 +79,7 @@
     def finish(self, exchange: Exchange) -> None:
         """Forget an exchange that is over."""
         self._exchanges.discard(exchange)
-        self.admission.leave(exchange.call.service)
+        self.admission.release(exchange.call.service)
 
     def _begin(self, request: Received, caller: Caller) -> None:
         if self.is_closed:
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -14,21 +14,27 @@
 from roadlift.daemon.takeover import Ask, OnAnswer, Opening, Takeover
 from roadlift.daemon.transport import Transport
 from roadlift.endpoints.api import EngineLoad, engine_apis
-from roadlift.ownership.book import UNKNOWN, Book, Outgoing, Shape, Terms
 from roadlift.ownership.election import choose_owner
 from roadlift.ownership.messages import (
     Acquire,
     Census,
     Count,
     Level,
-    Reason,
+    RefusalReason,
     Refuse,
     Release,
     Report,
 )
 from roadlift.ownership.orders import LOAD, Order, OrderResult
+from roadlift.ownership.record import (
+    UNKNOWN_PROCESS,
+    EndpointProperties,
+    EndpointRecord,
+    Outgoing,
+    OwnershipPolicy,
+)
 from roadlift.policy.eviction import evictors
-from roadlift.policy.loads import LoadGate, Waiting
+from roadlift.policy.loads import LoadGate, QueuedRequest
 from roadlift.relay.upstream import Address, Answer, Request, fetch
 
 TICK = 0.05  # Seconds between looks at what to order next.
@@ -50,7 +56,7 @@
     def __init__(self, name: str, address: Address) -> None:
         self.name = name
         self.address = address
-        self.book: Book | None = None
+        self.book: EndpointRecord | None = None
         self.is_opening = False
         self.has_tried = False
         self.load = EngineLoad("", 0, 0)
@@ -64,7 +70,7 @@
         self.load = load
         self.reports += 1
         if load.running and self.book is not None:
-            self.fill_sum += min(1.0, load.running / self.book.shape.width)
+            self.fill_sum += min(1.0, load.running / self.book.properties.width)
             self.fills += 1
 
 
@@ -83,7 +89,7 @@
         self._bundles = kernel.get(Bundles)
         self._pins = kernel.get(Pins)
         self._api = engine_apis.get(settings.engine_api)()
-        self._terms = Terms(
+        self._terms = OwnershipPolicy(
             evictors.get(settings.evictor)(),
             SILENT_PERIODS * settings.report_period,
         )
@@ -203,11 +209,11 @@
             return
         if self._owned.get(owned.name) is not owned:
             return
-        book = Book(
+        book = EndpointRecord(
             owned.name,
             self._members.process,
             opening.epoch,
-            Shape(endpoint.fences, endpoint.slots, endpoint.width),
+            EndpointProperties(endpoint.fences, endpoint.slots, endpoint.width),
             self._terms,
         )
         book.open(opening.names, self._kernel.clock.now())
@@ -218,7 +224,7 @@
         self._count_own_pins(book)
         self._take_census(owned)
 
-    def _count_own_pins(self, book: Book) -> None:
+    def _count_own_pins(self, book: EndpointRecord) -> None:
         census = Census(book.endpoint, book.epoch)
         count = self._pins.table.count(census, [])
         if count is not None:
@@ -233,13 +239,13 @@
         book.expect_answers(detector.list_unproven())
         is_old = now - book.opened_at >= AGREED_SECONDS
         if is_old and detector.has_agreed(AGREED_SECONDS):
-            book.settle()
-        for process in book.unproven - {UNKNOWN}:
+            book.confirm_membership()
+        for process in book.unproven - {UNKNOWN_PROCESS}:
             self._members.send(process, Census(book.endpoint, book.epoch))
 
     # Messages.
 
-    def _find_book(self, endpoint: str) -> Book | None:
+    def _find_book(self, endpoint: str) -> EndpointRecord | None:
         owned = self._owned.get(endpoint)
         return owned.book if owned else None
 
@@ -247,7 +253,9 @@
         book = self._find_book(ask.endpoint)
         if book is None:
             is_opening = ask.endpoint in self._owned
-            reason = Reason.TAKING_OVER if is_opening else Reason.NOT_OWNER
+            reason = (
+                RefusalReason.TAKING_OVER if is_opening else RefusalReason.NOT_OWNER
+            )
             self._members.send(sender, Refuse(ask.endpoint, ask.nonce, reason, 0.1))
             return
         self._send(book.acquire(sender, ask, self._kernel.clock.now()))
@@ -285,7 +293,7 @@
         """Close a book, and send who waits at it to the next one."""
         book, owned.book = owned.book, None
         for wait in book.waiting.pop_expired(float("inf")):
-            refusal = Refuse(book.endpoint, wait.nonce, Reason.NOT_OWNER, 0.1)
+            refusal = Refuse(book.endpoint, wait.nonce, RefusalReason.NOT_OWNER, 0.1)
             self._members.send(wait.holder, refusal)
 
     def _receive_count(self, sender: str, count: Count) -> None:
@@ -303,7 +311,7 @@
         now = self._kernel.clock.now()
         for owned in self.list_owned():
             self._send(owned.book.expire(now))
-            self._send(owned.book.inquire(now))
+            self._send(owned.book.request_reports(now))
             if now >= owned.census_at:
                 self._take_census(owned)
             self._order_next(owned)
@@ -318,10 +326,12 @@
                 return
             self._give_order(owned, owned.book, order)
 
-    def _try_load(self, wait: Waiting) -> bool:
+    def _try_load(self, wait: QueuedRequest) -> bool:
         return self._gate.try_start(wait, self._kernel.clock.now())
 
-    def _give_order(self, owned: OwnedEndpoint, book: Book, order: Order) -> None:
+    def _give_order(
+        self, owned: OwnedEndpoint, book: EndpointRecord, order: Order
+    ) -> None:
         began = self._kernel.clock.now()
         path = self._find_path(order.model) if order.verb == LOAD else ""
 
@@ -379,7 +389,7 @@
 
         self._ask_endpoint(owned)(self._api.build_load_report(), receive)
 
-    def _ask_list(self, owned: OwnedEndpoint, book: Book) -> None:
+    def _ask_list(self, owned: OwnedEndpoint, book: EndpointRecord) -> None:
         asked_at = self._kernel.clock.now()
 
         def receive(answer: Answer | None) -> None:
--- a/roadlift/daemon/pins.py
+++ b/roadlift/daemon/pins.py
@@ -11,7 +11,7 @@
 from roadlift.ownership.election import choose_owner
 from roadlift.pins.seeker import Seeker, Waiter
 from roadlift.pins.table import HeldPin, PinTable
-from roadlift.policy.routing import BaseRouter, Router, routers
+from roadlift.policy.routing import BaseModelRouter, Router, routers
 
 TICK = 0.1  # Seconds between looks at pins and askings.
 
@@ -123,7 +123,7 @@
                 widths[engine.name] = engine.width
                 by_base.setdefault(engine.base, []).append(engine.name)
         parts = {base: make(names) for base, names in by_base.items()}
-        return BaseRouter(parts, self._find_base), widths
+        return BaseModelRouter(parts, self._find_base), widths
 
     def _find_base(self, model: str) -> str:
         found = self._bundles.find_model(model)
--- a/roadlift/daemon/status.py
+++ b/roadlift/daemon/status.py
@@ -155,7 +155,7 @@
     return {
         "endpoint": owned.name,
         "epoch": f"{book.epoch:x}",
-        "slots": book.shape.slots,
+        "slots": book.properties.slots,
         "copies": [
             {
                 "copy": copy.name,
--- a/roadlift/endpoints/openai.py
+++ b/roadlift/endpoints/openai.py
@@ -19,7 +19,7 @@
 )
 from roadlift.endpoints.api import EngineLoad, engine_apis
 from roadlift.ownership.orders import LOAD, Order, OrderResult
-from roadlift.policy.loads import RANKS
+from roadlift.policy.loads import PRIORITY_RANKS
 from roadlift.relay.upstream import Answer, Request
 
 FENCE_HEADER = "X-Fencing-Number"
@@ -97,7 +97,7 @@
 
     def build_run(self, path: str, body: dict, copy: str, priority: str) -> Request:
         """Return the caller's call with the copy as its model."""
-        content = {**body, "model": copy, "priority": RANKS[priority]}
+        content = {**body, "model": copy, "priority": PRIORITY_RANKS[priority]}
         return Request("POST", path, _JSON, json.dumps(content).encode())
 
     def judge_refusal(self, status: int, body: bytes) -> RoadliftError:
--- a/roadlift/ownership/messages.py
+++ b/roadlift/ownership/messages.py
@@ -45,7 +45,7 @@
 
 @message("refuse")
 class Refuse(NamedTuple):
-    """Refuse a pin; ``reason`` is one of the `Reason` values."""
+    """Refuse a pin; ``reason`` is one of the `RefusalReason` values."""
 
     endpoint: str
     nonce: int
@@ -123,7 +123,7 @@
     yielded: list[int]
 
 
-class Reason:
+class RefusalReason:
     """The reasons for which an owner refuses a pin."""
 
     NOT_OWNER = "not_owner"
--- a/roadlift/ownership/book.py
+++ b/roadlift/ownership/record.py
@@ -1,8 +1,8 @@
 """Decide, as the owner of one endpoint, on its loads, evictions and pins.
 
-``Book`` does no I/O: it is passed messages, the endpoint's answers and the
-current time, and returns the messages and orders to send. It follows these
-rules, by their names in the specification in specification/ownership.py:
+``EndpointRecord`` does no I/O: it is passed messages, the endpoint's answers
+and the current time, and returns the messages and orders to send. It follows
+these rules, by their names in the specification in specification/ownership.py:
 
 * ``evict_unpinned``: a copy is unloaded only while no process holds a pin on
   it.
@@ -34,8 +34,8 @@
     Count,
     Grant,
     Inquire,
-    Reason,
     Recall,
+    RefusalReason,
     Refuse,
     Release,
     Report,
@@ -44,7 +44,13 @@
 from roadlift.ownership.orders import LOAD, UNLOAD, Order, OrderResult
 from roadlift.policy.admission import DEFAULT_LIMITS, EndpointLimits
 from roadlift.policy.eviction import AgedFrequencyEvictor, Evictor, UseHistory
-from roadlift.policy.loads import HOLDS, QUIET, RANKS, LoadQueue, Waiting
+from roadlift.policy.loads import (
+    COALESCING_DELAYS,
+    IDLE_TIME,
+    PRIORITY_RANKS,
+    LoadQueue,
+    QueuedRequest,
+)
 
 
 class Outgoing(NamedTuple):
@@ -55,16 +61,16 @@
 
 
 # Placeholder in ``unproven`` for processes that the owner may not know yet.
-UNKNOWN = "?"
-RECALL_LIMIT = 0.5  # Seconds after which a recall counts as unanswered.
+UNKNOWN_PROCESS = "?"
+RECALL_TIMEOUT = 0.5  # Seconds after which a recall counts as unanswered.
 # Weight of the latest load in the moving average of load times.
 LOAD_SMOOTHING = 0.2
 
 
-TryLoad = Callable[[Waiting], bool]
+TryLoad = Callable[[QueuedRequest], bool]
 
 
-class Shape(NamedTuple):
+class EndpointProperties(NamedTuple):
     """The fixed properties of an endpoint.
 
     ``fences`` says whether it rejects orders with an outdated fencing number,
@@ -76,29 +82,30 @@
     width: int
 
 
-class Terms(NamedTuple):
+class OwnershipPolicy(NamedTuple):
     """The settings by which an owner decides.
 
-    ``silence`` is the time in seconds without a report from a holder after
-    which one is requested, ``most_orders`` the maximum number of concurrent
-    orders at the endpoint, and ``holds`` the time, by priority class, that a
-    load is delayed so that further requests for the model can share it.
+    ``report_timeout`` is the time in seconds without a report from a holder
+    after which one is requested, ``max_orders`` the maximum number of
+    concurrent orders at the endpoint, and ``coalescing_delays`` the time, by
+    priority class, that a load is delayed so that further requests for the
+    model can share it.
     """
 
     evictor: Evictor = AgedFrequencyEvictor()
-    silence: float = 3.0
-    most_orders: int = 2
-    holds: Mapping[str, float] = HOLDS
+    report_timeout: float = 3.0
+    max_orders: int = 2
+    coalescing_delays: Mapping[str, float] = COALESCING_DELAYS
     limits: EndpointLimits = DEFAULT_LIMITS
 
 
-DEFAULT_TERMS = Terms()
+DEFAULT_POLICY = OwnershipPolicy()
 
 
-class Book:
+class EndpointRecord:
     """The owner's record of one endpoint in one epoch.
 
-    ``holder`` is the owning process. ``unproven`` holds the processes that
+    ``owner`` is the owning process. ``unproven`` holds the processes that
     may have pins from earlier epochs: those that have neither answered the
     census nor been proven dead.
     """
@@ -106,24 +113,24 @@
     def __init__(
         self,
         endpoint: str,
-        holder: str,
+        owner: str,
         epoch: int,
-        shape: Shape,
-        terms: Terms = DEFAULT_TERMS,
+        properties: EndpointProperties,
+        policy: OwnershipPolicy = DEFAULT_POLICY,
     ) -> None:
         self.endpoint = endpoint
-        self.holder = holder
+        self.owner = owner
         self.epoch = epoch
-        self.shape = shape
+        self.properties = properties
         self.copies: dict[str, Copy] = {}
         self.unproven: set[str] = set()
         self.yielded: set[int] = set()
-        self.waiting = LoadQueue(terms.holds)
+        self.waiting = LoadQueue(policy.coalescing_delays)
         self.orders: dict[str, Order] = {}
         self.is_superseded = False
         self.evictions = 0
         self.loads = 0
-        self._terms = terms
+        self._policy = policy
         self._history = UseHistory()
         self.opened_at = 0.0
         self._queried: set[str] = set()
@@ -138,20 +145,20 @@
 
     # Takeover.
 
-    def settle(self) -> None:
+    def confirm_membership(self) -> None:
         """Record that all processes that may hold older pins are known."""
-        self.unproven.discard(UNKNOWN)
+        self.unproven.discard(UNKNOWN_PROCESS)
 
     def expect_answers(self, members: Iterable[str]) -> None:
         """Add processes that may hold older pins; known ones are skipped."""
         new = [name for name in members if name not in self._queried]
         self._queried.update(new)
-        self.unproven.update(name for name in new if name != self.holder)
+        self.unproven.update(name for name in new if name != self.owner)
 
     def open(self, names: Iterable[str], now: float) -> None:
         """Take over the copies that were listed after raising the fence."""
         self.opened_at = now
-        self.unproven.add(UNKNOWN)
+        self.unproven.add(UNKNOWN_PROCESS)
         for name in map(parse_copy_name, names):
             if name is not None:
                 self._add_copy(name, CopyState.READY, now)
@@ -222,7 +229,7 @@
         A request that is queued already was sent again: it keeps its position
         in the queue, and its priority class may have become more urgent.
         """
-        wait = Waiting(
+        wait = QueuedRequest(
             sender,
             request.nonce,
             request.model,
@@ -233,27 +240,31 @@
         if self.waiting.update(wait):
             return []
         if self.is_full(request.priority):
-            return [self._refuse(sender, request, Reason.FULL, 1.0)]
+            return [self._refuse(sender, request, RefusalReason.FULL, 1.0)]
         copy = self.find_ready(request.model)
         if copy is None:
             return self._enqueue(sender, request, wait)
         if self._should_spill(request):
-            return [self._refuse(sender, request, Reason.BUSY)]
+            return [self._refuse(sender, request, RefusalReason.BUSY)]
         return [self._grant(copy, sender, request.nonce, now)]
 
-    def _enqueue(self, sender: str, request: Acquire, wait: Waiting) -> list[Outgoing]:
+    def _enqueue(
+        self, sender: str, request: Acquire, wait: QueuedRequest
+    ) -> list[Outgoing]:
         """Queue a request for a load, unless that would take too long."""
         expected = self._estimate_wait(wait)
-        is_late = expected > self._terms.limits.most_load_wait[request.priority]
+        is_late = expected > self._policy.limits.max_load_wait[request.priority]
         if is_late or not self.waiting.add(wait):
-            return [self._refuse(sender, request, Reason.FULL, max(1.0, expected))]
+            return [
+                self._refuse(sender, request, RefusalReason.FULL, max(1.0, expected))
+            ]
         return []
 
     def is_full(self, priority: str) -> bool:
         """Return whether the endpoint is too full for a priority class."""
         return (
             self.count_running()
-            >= self.shape.width * self._terms.limits.full_at[priority]
+            >= self.properties.width * self._policy.limits.max_fill[priority]
         )
 
     def release(self, sender: str, message: Release) -> None:
@@ -280,7 +291,7 @@
             if uses and name in self.copies:
                 self.copies[name].use.note(now, uses)
 
-    def inquire(self, now: float) -> list[Outgoing]:
+    def request_reports(self, now: float) -> list[Outgoing]:
         """Request reports from holders whose last report is too old.
 
         Otherwise a lost grant, release or final report would keep a copy
@@ -290,7 +301,7 @@
         out = []
         for holder in sorted(holders):
             reported_at = self._last_report_at.setdefault(holder, now)
-            if now - reported_at >= self._terms.silence:
+            if now - reported_at >= self._policy.report_timeout:
                 self._last_report_at[holder] = now
                 out.append(Outgoing(holder, Inquire(self.endpoint)))
         for gone in set(self._last_report_at) - holders:
@@ -315,7 +326,7 @@
     def expire(self, now: float) -> list[Outgoing]:
         """Refuse the queued requests whose deadline has passed."""
         return [
-            self._refuse_waiting(wait, Reason.EXPIRED)
+            self._refuse_waiting(wait, RefusalReason.EXPIRED)
             for wait in self.waiting.pop_expired(now)
         ]
 
@@ -328,7 +339,7 @@
         out of order: each refers to a different copy, and all orders of an
         epoch have the same fencing number.
         """
-        if self.is_superseded or len(self.orders) >= self._terms.most_orders:
+        if self.is_superseded or len(self.orders) >= self._policy.max_orders:
             return None, []
         stray = self._find_stray()
         if stray is not None:
@@ -336,7 +347,7 @@
         wait = self._find_next_request(now)
         if wait is None:
             return None, []
-        if len(self.copies) < self.shape.slots:
+        if len(self.copies) < self.properties.slots:
             may_load = try_load(wait)
             return (self._begin_load(wait, now) if may_load else None), []
         if self._count_unloads():
@@ -380,7 +391,9 @@
         if copy.state is not CopyState.READY:
             return False
         return (
-            copy.epoch == self.epoch or self.shape.fences or copy.epoch in self.yielded
+            copy.epoch == self.epoch
+            or self.properties.fences
+            or copy.epoch in self.yielded
         )
 
     # Helpers.
@@ -425,12 +438,12 @@
         else:
             self._drop(copy)
         return [
-            self._refuse_waiting(wait, Reason.LOAD_FAILED)
+            self._refuse_waiting(wait, RefusalReason.LOAD_FAILED)
             for wait in self.waiting.pop_model(copy.model)
         ]
 
     def _should_spill(self, request: Acquire) -> bool:
-        return not request.last and self.count_running() >= self.shape.width
+        return not request.last and self.count_running() >= self.properties.width
 
     def _grant(self, copy: Copy, to: str, nonce: int, now: float) -> Outgoing:
         pin = copy.pins.get(to, Pin(0, 0))
@@ -442,7 +455,12 @@
         return Outgoing(
             to,
             Grant(
-                self.endpoint, nonce, copy.name, self.epoch, running, self.shape.width
+                self.endpoint,
+                nonce,
+                copy.name,
+                self.epoch,
+                running,
+                self.properties.width,
             ),
         )
 
@@ -457,10 +475,10 @@
     ) -> Outgoing:
         return Outgoing(to, Refuse(self.endpoint, request.nonce, reason, retry_after))
 
-    def _refuse_waiting(self, wait: Waiting, reason: str) -> Outgoing:
+    def _refuse_waiting(self, wait: QueuedRequest, reason: str) -> Outgoing:
         return Outgoing(wait.holder, Refuse(self.endpoint, wait.nonce, reason, 1.0))
 
-    def _begin_load(self, wait: Waiting, now: float) -> Order:
+    def _begin_load(self, wait: QueuedRequest, now: float) -> Order:
         self._serial += 1
         self._load_started_at = now
         name = CopyName(wait.model, self.epoch, self._serial)
@@ -479,16 +497,16 @@
         self.orders[order.copy] = order
         return order
 
-    def _estimate_wait(self, wait: Waiting) -> float:
+    def _estimate_wait(self, wait: QueuedRequest) -> float:
         """Return the expected time until a request's load ends, in s."""
         ahead = self.waiting.count_ahead(wait)
         if ahead is None:
             # An equally urgent request already needs the same load.
             return 0.0
-        rounds = (ahead + len(self.orders)) / self._terms.most_orders
+        rounds = (ahead + len(self.orders)) / self._policy.max_orders
         return (1.0 + rounds) * self._mean_load_seconds
 
-    def _find_next_request(self, now: float) -> Waiting | None:
+    def _find_next_request(self, now: float) -> QueuedRequest | None:
         """Return the first queued request that needs a new load.
 
         No load should be made for a priority class for which the endpoint is
@@ -497,8 +515,8 @@
         loading = {order.model for order in self.orders.values() if order.verb == LOAD}
         if not len(self.waiting):
             return None
-        full = {name for name in RANKS if self.is_full(name)}
-        is_idle = now - self._load_started_at >= QUIET
+        full = {name for name in PRIORITY_RANKS if self.is_full(name)}
+        is_idle = now - self._load_started_at >= IDLE_TIME
         return self.waiting.peek(now, loading, full, is_idle)
 
     def _count_unloads(self) -> int:
@@ -536,7 +554,7 @@
         """
         if not copy.pins:
             return False
-        return copy.recalled_at is None or now - copy.recalled_at < RECALL_LIMIT
+        return copy.recalled_at is None or now - copy.recalled_at < RECALL_TIMEOUT
 
     def _recall(self, copy: Copy, now: float) -> list[Outgoing]:
         if copy.recalled_at is None:
@@ -553,7 +571,7 @@
             return None
         return min(
             candidates,
-            key=lambda copy: self._terms.evictor.measure_worth(copy.use, now),
+            key=lambda copy: self._policy.evictor.compute_value(copy.use, now),
         )
 
     def _drop(self, copy: Copy) -> None:
--- a/roadlift/pins/seeker.py
+++ b/roadlift/pins/seeker.py
@@ -16,14 +16,14 @@
     Grant,
     Inquire,
     Level,
-    Reason,
     Recall,
+    RefusalReason,
     Refuse,
     Release,
 )
 from roadlift.pins.table import HeldPin, PinTable
 from roadlift.policy.admission import DEFAULT_LIMITS
-from roadlift.policy.loads import RANKS
+from roadlift.policy.loads import PRIORITY_RANKS
 from roadlift.policy.routing import Router
 
 RETRY_PAUSE = 0.05  # Seconds before the owners are asked again.
@@ -78,7 +78,7 @@
 
     def pick_priority(self) -> str:
         """Return the soonest class among the waiters."""
-        return min((w.priority for w in self.waiters), key=RANKS.__getitem__)
+        return min((w.priority for w in self.waiters), key=PRIORITY_RANKS.__getitem__)
 
     def pick_deadline(self) -> float:
         """Return the last deadline among the waiters."""
@@ -189,7 +189,7 @@
         pins = self.table.find(search.model)
         fill = lambda pin: self._measure_fill(pin.endpoint)
         pin = min(pins, key=fill, default=None)
-        if pin is None or fill(pin) >= DEFAULT_LIMITS.full_at[search.pick_priority()]:
+        if pin is None or fill(pin) >= DEFAULT_LIMITS.max_fill[search.pick_priority()]:
             return None
         return pin
 
@@ -303,7 +303,7 @@
         self.table.cancel(refuse.nonce)
         if search is None:
             return
-        if refuse.reason not in (Reason.FULL, Reason.BUSY):
+        if refuse.reason not in (RefusalReason.FULL, RefusalReason.BUSY):
             search.was_full = False
         self._ask_next(search)
 
--- a/roadlift/policy/admission.py
+++ b/roadlift/policy/admission.py
@@ -7,14 +7,14 @@
 class EndpointLimits(NamedTuple):
     """Limits, by priority class, above which an owner refuses requests.
 
-    ``full_at`` bounds the running and queued requests as a multiple of the
-    endpoint's batch size; ``most_load_wait`` bounds the expected time in
+    ``max_fill`` bounds the running and queued requests as a multiple of the
+    endpoint's batch size; ``max_load_wait`` bounds the expected time in
     seconds of a load and those ahead of it. Interactive requests, whose tail
     latency is contracted, are refused last as an endpoint fills up.
     """
 
-    full_at: Mapping[str, float]
-    most_load_wait: Mapping[str, float]
+    max_fill: Mapping[str, float]
+    max_load_wait: Mapping[str, float]
 
 
 DEFAULT_LIMITS = EndpointLimits(
@@ -23,7 +23,7 @@
 )
 
 
-class Limits(NamedTuple):
+class AdmissionLimits(NamedTuple):
     """Limits of one instance; ``most_running`` is a number of requests."""
 
     most_running: int
@@ -32,7 +32,7 @@
 class Admission:
     """Count the running requests of an instance, in total and by service."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: AdmissionLimits) -> None:
         self._limits = limits
         self._by_service: dict[str, int] = {}
         self.running = 0
@@ -46,7 +46,7 @@
         self.running += 1
         return True
 
-    def leave(self, service: str) -> None:
+    def release(self, service: str) -> None:
         """Record that a request of ``service`` has ended."""
         self.running -= 1
         self._by_service[service] -= 1
--- a/roadlift/policy/eviction.py
+++ b/roadlift/policy/eviction.py
@@ -6,7 +6,7 @@
 from roadlift.core.registry import Registry
 
 evictors: Registry = Registry("evictor")
-MOST_MODELS = 512  # Models for which an endpoint's owner keeps usage data.
+MAX_MODELS = 512  # Models for which an endpoint's owner keeps usage data.
 HALF_LIFE = 60.0  # Seconds after which a use has half its weight.
 
 
@@ -21,10 +21,10 @@
 
     def note(self, now: float, uses: int = 1) -> None:
         """Record a number of uses at the time ``now``, in seconds."""
-        self.count = uses + self.measure_count(now, HALF_LIFE)
+        self.count = uses + self.compute_count(now, HALF_LIFE)
         self.last = now
 
-    def measure_count(self, now: float, half_life: float) -> float:
+    def compute_count(self, now: float, half_life: float) -> float:
         """Return the count of uses, decayed by the half-life up to ``now``."""
         return self.count * math.exp2((self.last - now) / half_life)
 
@@ -36,7 +36,7 @@
     not be distinguished from one that is used once.
     """
 
-    def __init__(self, max_models: int = MOST_MODELS) -> None:
+    def __init__(self, max_models: int = MAX_MODELS) -> None:
         self._max_models = max_models
         self._uses: dict[str, ModelUse] = {}
 
@@ -51,7 +51,7 @@
 
     def _prune(self, now: float) -> None:
         """Remove the half of the models with the lowest counts."""
-        get_count = lambda item: item[1].measure_count(now, HALF_LIFE)
+        get_count = lambda item: item[1].compute_count(now, HALF_LIFE)
         kept = sorted(self._uses.items(), key=get_count, reverse=True)
         self._uses = dict(kept[: self._max_models // 2])
 
@@ -59,7 +59,7 @@
 class Evictor(Protocol):
     """An eviction policy: the copy of the lowest value is evicted."""
 
-    def measure_worth(self, use: ModelUse, now: float) -> float:
+    def compute_value(self, use: ModelUse, now: float) -> float:
         """Return the value of a copy at ``now``, on any scale."""
 
 
@@ -67,7 +67,7 @@
 class RecencyEvictor:
     """Evict the least recently used copy."""
 
-    def measure_worth(self, use: ModelUse, now: float) -> float:
+    def compute_value(self, use: ModelUse, now: float) -> float:
         """Return the time of the last use."""
         return use.last
 
@@ -76,6 +76,6 @@
 class AgedFrequencyEvictor:
     """Evict the copy with the lowest decayed count of uses."""
 
-    def measure_worth(self, use: ModelUse, now: float) -> float:
+    def compute_value(self, use: ModelUse, now: float) -> float:
         """Return the decayed count of uses."""
-        return use.measure_count(now, HALF_LIFE)
+        return use.compute_count(now, HALF_LIFE)
--- a/roadlift/policy/loads.py
+++ b/roadlift/policy/loads.py
@@ -8,25 +8,26 @@
 from collections.abc import Container, Mapping
 from typing import NamedTuple
 
-RANKS = {"interactive": 0, "standard": 1, "batch": 2}
+PRIORITY_RANKS = {"interactive": 0, "standard": 1, "batch": 2}
 # Seconds, by priority class, that a load is delayed so that further requests
 # for the model can share it. Each request that arrives in that time, or finds
 # the model loaded for another class, saves a load.
-HOLDS = {"interactive": 0.0, "standard": 0.0, "batch": 30.0}
-QUIET_HOLD = 2.0  # Maximum delay of any class at an idle endpoint, in s.
-QUIET = 5.0  # Seconds without a load after which an endpoint is idle.
-
-MOST_WAITING = 512  # Maximum number of queued requests at one endpoint.
-# Seconds, beyond its delay above, that a load waits while the store is
-# congested.
-PATIENCE = {"interactive": 0.0, "standard": 1.0, "batch": 30.0}
-CROWDED = 1.3  # Slowness of loads from which the store counts as congested.
-SMOOTHING = 0.3  # Weight of the latest load in the average slowness.
-BEST_AGEING = 0.01  # Fraction by which the best time grows with each load.
-NEWS_LIMIT = 5.0  # Seconds after which the measured slowness is disregarded.
-
-
-class Waiting(NamedTuple):
+COALESCING_DELAYS = {"interactive": 0.0, "standard": 0.0, "batch": 30.0}
+MAX_IDLE_DELAY = 2.0  # Maximum delay of any class at an idle endpoint, in s.
+IDLE_TIME = 5.0  # Seconds without a load after which an endpoint is idle.
+
+MAX_QUEUED_REQUESTS = 512  # Queued requests at one endpoint.
+# Seconds, by priority class and beyond the coalescing delay, that a load waits
+# at most for a store that is not congested.
+MAX_STORE_WAIT = {"interactive": 0.0, "standard": 1.0, "batch": 30.0}
+CONGESTION_THRESHOLD = 1.3  # Slowness from which the store is congested.
+SLOWNESS_SMOOTHING = 0.3  # Weight of the latest load in the average slowness.
+# Fraction by which the best time grows with each load.
+BEST_TIME_GROWTH = 0.01
+SLOWNESS_RETENTION = 5.0  # Seconds until the last slowness is disregarded.
+
+
+class QueuedRequest(NamedTuple):
     """A pin request that waits for a load; times are in seconds."""
 
     holder: str
@@ -41,23 +42,25 @@
     """The queued requests at one endpoint, most urgent class first."""
 
     def __init__(
-        self, holds: Mapping[str, float] = HOLDS, limit: int = MOST_WAITING
+        self,
+        coalescing_delays: Mapping[str, float] = COALESCING_DELAYS,
+        limit: int = MAX_QUEUED_REQUESTS,
     ) -> None:
-        self._holds = holds
+        self._coalescing_delays = coalescing_delays
         self._limit = limit
-        self._requests: list[Waiting] = []
+        self._requests: list[QueuedRequest] = []
 
     def __len__(self) -> int:
         return len(self._requests)
 
-    def add(self, wait: Waiting) -> bool:
+    def add(self, wait: QueuedRequest) -> bool:
         """Add a request; return False if the queue is full."""
         if len(self._requests) >= self._limit:
             return False
         self._requests.append(wait)
         return True
 
-    def update(self, wait: Waiting) -> bool:
+    def update(self, wait: QueuedRequest) -> bool:
         """Update a request that is queued already; return False if none is."""
         for index, queued in enumerate(self._requests):
             if queued.holder == wait.holder and queued.nonce == wait.nonce:
@@ -71,7 +74,7 @@
         loading: Container[str] = (),
         full: Container[str] = (),
         is_idle: bool = False,
-    ) -> Waiting | None:
+    ) -> QueuedRequest | None:
         """Return the first request that is due for a load, or None.
 
         A request is not due while its model is being loaded, or while the
@@ -79,16 +82,17 @@
         delay saves nothing. Classes in ``full`` are meant not to be due
         either, but the argument is not evaluated.
         """
-        max_delay = QUIET_HOLD if is_idle else math.inf
+        max_delay = MAX_IDLE_DELAY if is_idle else math.inf
         due = (
             wait
             for wait in self._requests
             if wait.model not in loading
-            and now - wait.since >= min(max_delay, self._holds[wait.priority])
+            and now - wait.since
+            >= min(max_delay, self._coalescing_delays[wait.priority])
         )
         return min(due, key=_rank, default=None)
 
-    def count_ahead(self, wait: Waiting) -> int | None:
+    def count_ahead(self, wait: QueuedRequest) -> int | None:
         """Return how many models are loaded before a request's model.
 
         None means that an equally urgent request for the model is queued.
@@ -97,13 +101,13 @@
         ahead = {other.model for other in self._requests if _rank(other) <= rank}
         return None if wait.model in ahead else len(ahead)
 
-    def pop_model(self, model: str) -> list[Waiting]:
+    def pop_model(self, model: str) -> list[QueuedRequest]:
         """Remove and return the requests for ``model``, most urgent first."""
         found = sorted((w for w in self._requests if w.model == model), key=_rank)
         self._requests = [w for w in self._requests if w.model != model]
         return found
 
-    def pop_expired(self, now: float) -> list[Waiting]:
+    def pop_expired(self, now: float) -> list[QueuedRequest]:
         """Remove and return the requests whose deadline has passed."""
         found = [w for w in self._requests if w.deadline <= now]
         if found:
@@ -119,8 +123,8 @@
         return {w.model for w in self._requests}
 
 
-def _rank(wait: Waiting) -> tuple[int, float]:
-    return RANKS.get(wait.priority, len(RANKS)), wait.since
+def _rank(wait: QueuedRequest) -> tuple[int, float]:
+    return PRIORITY_RANKS.get(wait.priority, len(PRIORITY_RANKS)), wait.since
 
 
 class LoadGate:
@@ -141,7 +145,7 @@
         self._finished_at = 0.0
         self._running: dict[str, int] = {}
 
-    def try_start(self, wait: Waiting, now: float) -> bool:
+    def try_start(self, wait: QueuedRequest, now: float) -> bool:
         """Return whether a load for ``wait`` may start; count it if so."""
         if self._may_start(wait, now):
             self._running[wait.priority] = self._running.get(wait.priority, 0) + 1
@@ -155,19 +159,19 @@
             return
         # The best time grows slowly, as the store may have become slower for
         # good.
-        grown = self._best * (1.0 + BEST_AGEING)
+        grown = self._best * (1.0 + BEST_TIME_GROWTH)
         self._best = min(seconds, grown) if self._best else seconds
-        self._slowness += SMOOTHING * (seconds / self._best - self._slowness)
+        self._slowness += SLOWNESS_SMOOTHING * (seconds / self._best - self._slowness)
         self._finished_at = now
 
-    def measure_slowness(self, now: float) -> float:
+    def compute_slowness(self, now: float) -> float:
         """Return the slowness of loads, which decays to 1 (full speed)."""
         age = max(0.0, now - self._finished_at)
-        return 1.0 + (self._slowness - 1.0) * max(0.0, 1.0 - age / NEWS_LIMIT)
+        return 1.0 + (self._slowness - 1.0) * max(0.0, 1.0 - age / SLOWNESS_RETENTION)
 
-    def _may_start(self, wait: Waiting, now: float) -> bool:
-        max_wait = PATIENCE[wait.priority]
-        if now - wait.since >= HOLDS[wait.priority] + max_wait:
+    def _may_start(self, wait: QueuedRequest, now: float) -> bool:
+        max_wait = MAX_STORE_WAIT[wait.priority]
+        if now - wait.since >= COALESCING_DELAYS[wait.priority] + max_wait:
             return True
         is_alone = not self._running.get(wait.priority)
-        return is_alone and self.measure_slowness(now) < CROWDED
+        return is_alone and self.compute_slowness(now) < CONGESTION_THRESHOLD
--- a/roadlift/policy/placement.py
+++ b/roadlift/policy/placement.py
@@ -9,7 +9,7 @@
 import hashlib
 from collections.abc import Iterable, Sequence
 
-POINTS = 64  # Points of each endpoint on the hash ring.
+POINTS_PER_ENDPOINT = 64  # Points of each endpoint on the hash ring.
 
 
 class RingPlacer:
@@ -19,12 +19,12 @@
         points = [
             (_hash(f"{name}/{index}"), name)
             for name in endpoints
-            for index in range(POINTS)
+            for index in range(POINTS_PER_ENDPOINT)
         ]
         points.sort()
         self._hashes = [point for point, _ in points]
         self._names = [name for _, name in points]
-        self._count = len(points) // POINTS
+        self._count = len(points) // POINTS_PER_ENDPOINT
 
     def rank(self, model: str, count: int) -> Sequence[str]:
         """Return the first ``count`` endpoints after the model's point."""
--- a/roadlift/policy/routing.py
+++ b/roadlift/policy/routing.py
@@ -11,8 +11,8 @@
 from roadlift.policy.placement import RingPlacer
 
 routers: Registry = Registry("router")
-CANDIDATES = 3  # Endpoints at which a pin is requested for one model.
-SPILL_AT = 1.0  # Fill of a batch from which another endpoint is tried.
+MAX_CANDIDATES = 3  # Endpoints at which a pin is requested for one model.
+SPILL_THRESHOLD = 1.0  # Fill of a batch from which another endpoint is tried.
 
 Fill = Callable[[str], float]
 
@@ -54,9 +54,9 @@
     def plan(self, model: str, pinned: Sequence[str], fill: Fill) -> Plan:
         """Plan by pins first, then by the ring."""
         best = min(pinned, key=fill, default=None)
-        if best is not None and fill(best) < SPILL_AT:
+        if best is not None and fill(best) < SPILL_THRESHOLD:
             return Plan(best, ())
-        return Plan(None, self._placer.rank(model, CANDIDATES))
+        return Plan(None, self._placer.rank(model, MAX_CANDIDATES))
 
 
 @routers.register("hash")
@@ -93,7 +93,7 @@
         return Plan(None, (best,))
 
 
-class BaseRouter:
+class BaseModelRouter:
     """Routes a request among the engines of its model's base model."""
 
     def __init__(
--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -503,7 +503,7 @@
 
     def _choose_victim(self, now: float) -> Model | None:
         """Return the copy worth least of those that run nothing, or None."""
-        worth = lambda model: self._evictor.measure_worth(
+        worth = lambda model: self._evictor.compute_value(
             self._uses.find(model, now), now
         )
         idle = [
--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -15,7 +15,7 @@
 from roadlift.daemon.members import Members
 from roadlift.daemon.transport import Transport
 from roadlift.idempotency.claims import Claims
-from roadlift.ownership.book import Book
+from roadlift.ownership.record import EndpointRecord
 from roadlift.pins.table import PinTable
 from roadlift.relay import upstream
 
@@ -81,7 +81,7 @@
 def break_rule(name: str) -> None:
     """Remove one rule from the code, to see that a test notices."""
     if name == "evict_unpinned":
-        Book.may_evict = lambda self, copy: copy.state.value != "loading"
+        EndpointRecord.may_evict = lambda self, copy: copy.state.value != "loading"
     elif name == "return_idle":
         PinTable.recall = lambda self, endpoint, copy: (
             self._give_back(pin) if (pin := self._pins.get((endpoint, copy))) else None
--- a/tests/steps/policy_steps.py
+++ b/tests/steps/policy_steps.py
@@ -7,12 +7,16 @@
 
 from benchmarks.policies.run import BOUND, list_jobs, run_all
 from benchmarks.policies.world import POLICIES
-from roadlift.ownership.book import Book, Shape, Terms
-from roadlift.ownership.messages import Acquire, Grant, Reason, Refuse, Report
+from roadlift.ownership.messages import Acquire, Grant, RefusalReason, Refuse, Report
 from roadlift.ownership.orders import LOAD, UNLOAD, OrderResult
+from roadlift.ownership.record import (
+    EndpointProperties,
+    EndpointRecord,
+    OwnershipPolicy,
+)
 from roadlift.pins.table import PinTable
 from roadlift.policy import placement
-from roadlift.policy.loads import LoadGate, Waiting
+from roadlift.policy.loads import LoadGate, QueuedRequest
 from roadlift.policy.placement import RingPlacer
 from roadlift.policy.routing import RingRouter
 
@@ -96,7 +100,13 @@
 
 
 def _make_record(slots, width, **more):
-    return Book("e", "owner", 1 << 20, Shape(True, slots, width), Terms(**more))
+    return EndpointRecord(
+        "e",
+        "owner",
+        1 << 20,
+        EndpointProperties(True, slots, width),
+        OwnershipPolicy(**more),
+    )
 
 
 def _request(record, nonce, model, priority, now, holder="h", last=True):
@@ -114,7 +124,7 @@
 @given("an endpoint record with 1 slot, a batch of 4 and loads of 1 s")
 def step_small_record(context):
     """Create a record that expects loads to take 1 s."""
-    context.record = _make_record(1, 4, most_orders=1)
+    context.record = _make_record(1, 4, max_orders=1)
     context.record._mean_load_seconds = 1.0
     context.now = 10.0
 
@@ -135,7 +145,7 @@
         if index < taken:
             assert answer == [], (index, answer)
         else:
-            assert answer[0].message.reason == Reason.FULL, (index, answer)
+            assert answer[0].message.reason == RefusalReason.FULL, (index, answer)
 
 
 @then("each refusal has a time to retry after")
@@ -273,7 +283,7 @@
     """Record loads at a gate, the first one as the fastest."""
     gate = context.gate = LoadGate()
     for index, took in enumerate([1.0] + [seconds] * 6):
-        wait = Waiting("h", index, "m@1", "interactive", 999.0, 0.0)
+        wait = QueuedRequest("h", index, "m@1", "interactive", 999.0, 0.0)
         assert gate.try_start(wait, 100.0)
         gate.finish("interactive", took, 100.0)
 
@@ -281,14 +291,14 @@
 @when("a {priority} load is due that has waited {waited:g} s")
 def step_due(context, priority, waited):
     """Ask the gate whether the load may start."""
-    wait = Waiting("h", 9, "m@1", priority, 999.0, 100.0 - waited)
+    wait = QueuedRequest("h", 9, "m@1", priority, 999.0, 100.0 - waited)
     context.may = context.gate.try_start(wait, 100.0)
 
 
 @then("it {may} start")
 def step_may_start(context, may):
     """Check the gate's answer."""
-    assert context.may == (may == "may"), context.gate.measure_slowness(100.0)
+    assert context.may == (may == "may"), context.gate.compute_slowness(100.0)
 
 
 @given("a record of a {kind} endpoint with 4 slots and one batch request")
--- a/tests/steps/specification_steps.py
+++ b/tests/steps/specification_steps.py
@@ -6,17 +6,17 @@
 
 from behave import given, then, when
 
-from roadlift.ownership import book as book_module
-from roadlift.ownership.book import Book
+from roadlift.ownership import record as book_module
 from roadlift.ownership.copies import CopyState
+from roadlift.ownership.record import EndpointRecord
 from roadlift.pins.table import HeldPin, PinTable
 from specification.explore import OWNERSHIP_LIMITS, WORKERS, explore, judge, list_jobs
 from tests.support.replay import replay_walks
 
 _real = {
     "accept": PinTable.accept,
-    "open": Book.open,
-    "reconcile": Book.reconcile,
+    "open": EndpointRecord.open,
+    "reconcile": EndpointRecord.reconcile,
 }
 
 
@@ -51,21 +51,21 @@
 
 BREAKS = {
     "evict_unpinned": (
-        Book,
+        EndpointRecord,
         "may_evict",
         lambda book, copy: copy.epoch == book.epoch or not book.unproven,
     ),
-    "evict_proven": (Book, "may_evict", lambda book, copy: not copy.pins),
+    "evict_proven": (EndpointRecord, "may_evict", lambda book, copy: not copy.pins),
     "adopt_fenced": (
-        Book,
+        EndpointRecord,
         "may_serve",
         lambda book, copy: copy.state is CopyState.READY,
     ),
     "accept_asked": (PinTable, "accept", _accept_any),
     "return_idle": (PinTable, "recall", _give_back_any),
-    "yield_certain": (Book, "yield_epoch", lambda book: [book.epoch]),
-    "adopt_once": (Book, "reconcile", _adopt_listed),
-    "step_down": (Book, "reconcile", _stay),
+    "yield_certain": (EndpointRecord, "yield_epoch", lambda book: [book.epoch]),
+    "adopt_once": (EndpointRecord, "reconcile", _adopt_listed),
+    "step_down": (EndpointRecord, "reconcile", _stay),
     "newest_pin": (book_module, "note_pin", _overwrite),
 }
 
--- a/tests/support/replay.py
+++ b/tests/support/replay.py
@@ -3,10 +3,14 @@
 import random
 from copy import deepcopy
 
-from roadlift.ownership.book import Book, Shape, Terms
 from roadlift.ownership.copies import CopyState
 from roadlift.ownership.messages import Acquire, Census
 from roadlift.ownership.orders import OrderResult
+from roadlift.ownership.record import (
+    EndpointProperties,
+    EndpointRecord,
+    OwnershipPolicy,
+)
 from roadlift.pins.table import PinTable
 from roadlift.policy.eviction import RecencyEvictor
 from specification.ownership import HOLDERS, OWNERS, Limits, Ownership, State
@@ -25,7 +29,7 @@
 
     def __init__(self, fences: bool) -> None:
         self._fences = fences
-        self.books: dict[int, Book] = {}
+        self.books: dict[int, EndpointRecord] = {}
         self.tables = {name: _make_table() for name in HOLDERS}
         self.names: dict[tuple, str] = {}
         self.messages: dict[tuple, object] = {}
@@ -81,13 +85,16 @@
     def _list_pins(self, name: str) -> list:
         return self.tables[name].report(ENDPOINT).pins
 
-    def _make_book(self, epoch: int) -> Book:
-        shape, terms = Shape(self._fences, 1, 8), Terms(RecencyEvictor())
-        book = Book(ENDPOINT, OWNERS[epoch], epoch, shape, terms)
+    def _make_book(self, epoch: int) -> EndpointRecord:
+        shape, terms = (
+            EndpointProperties(self._fences, 1, 8),
+            OwnershipPolicy(RecencyEvictor()),
+        )
+        book = EndpointRecord(ENDPOINT, OWNERS[epoch], epoch, shape, terms)
         self.books[epoch] = book
         return book
 
-    def _order_load(self, book: Book, model: str):
+    def _order_load(self, book: EndpointRecord, model: str):
         ask = Acquire(ENDPOINT, 1, model, "standard", FOREVER, True)
         book.acquire("nobody", ask, self.now)
         order, _ = book.choose_order(self.now)
@@ -221,7 +228,7 @@
         _, epoch, listed = label
         book = self._make_book(epoch)
         book.open([self.names[copy] for copy in listed], self.now)
-        book.settle()
+        book.confirm_membership()
         book.expect_answers(HOLDERS)
         table = self.tables[OWNERS[epoch]]
         count = table.count(Census(ENDPOINT, epoch), [])
