--- a/tests/ownership/failures.feature
+++ b/tests/ownership/failures.feature
@@ -15,11 +15,11 @@
       | fencing | killed                     |
       | fencing | paused for 3 s             |
       | fencing | paused for 20 s            |
-      | fencing | told to leave              |
+      | fencing | shut down                  |
       | fencing | killed and started again   |
       | plain   | killed                     |
       | plain   | paused for 20 s            |
-      | plain   | told to leave              |
+      | plain   | shut down                  |
       | plain   | killed and started again   |
 
   Scenario Outline: A paused owner resumes with outdated state
--- a/tests/steps/deployment_steps.py
+++ b/tests/steps/deployment_steps.py
@@ -86,7 +86,7 @@
         hub.pause(owner)
         hub.advance(float(fault.split()[2]))
         hub.resume(owner)
-    elif fault == "told to leave":
+    elif fault == "shut down":
         deployment.get(owner, Leaving).leave()
     elif fault == "killed and started again":
         hub.kill(owner)
--- a/tests/steps/policy_steps.py
+++ b/tests/steps/policy_steps.py
@@ -196,8 +196,8 @@
 @when("a model is pinned at its first {pinned:d} endpoints with fills of {fills}")
 def step_pinned(context, pinned, fills):
     """Plan a request with some pins."""
-    context.places = RingPlacer([f"e{i}" for i in range(9)]).rank("m@1", 3)
-    pins = context.places[:pinned]
+    context.ranked = RingPlacer([f"e{i}" for i in range(9)]).rank("m@1", 3)
+    pins = context.ranked[:pinned]
     values = [float(text) for text in fills.split()] if pinned else []
     by_name = dict(zip(pins, values, strict=True))
     context.plan = context.router.plan("m@1", pins, by_name.__getitem__)
@@ -207,14 +207,14 @@
 def step_plan_ask(context):
     """Check that pins are requested in the order of the ring."""
     assert context.plan.use is None
-    assert list(context.plan.ask) == list(context.places)
+    assert list(context.plan.ask) == list(context.ranked)
 
 
 @then("the plan is to use the {position}")
 def step_plan_use(context, position):
     """Check that the pin at the least loaded endpoint is used."""
     index = {"1st": 0, "2nd": 1}[position]
-    assert context.plan.use == context.places[index], context.plan
+    assert context.plan.use == context.ranked[index], context.plan
 
 
 @when("one of {count:d} endpoints is removed from the ring")
