--- a/roadlift/serving/engine.py
+++ b/roadlift/serving/engine.py
@@ -519,7 +519,7 @@
 
     def _choose_victim(self, now: float) -> Model | None:
         """Return the least valuable copy without running calls, or None."""
-        worth = lambda model: self._evictor.measure_worth(
+        worth = lambda model: self._evictor.compute_value(
             self._uses.find(model, now), now
         )
         idle = [
