--- a/roadlift/pins/__init__.py
+++ b/roadlift/pins/__init__.py
@@ -1,6 +1,7 @@
-"""Hold pins on copies, so that none is evicted under a request.
+"""Hold pins on copies, so that no copy is evicted while a request uses it.
 
-Public surface: ``PinTable`` keeps them, ``Seeker`` finds them for requests.
+Public API: ``PinTable`` stores the pins that this process holds, ``Seeker``
+obtains pins for requests.
 """
 
 from roadlift.pins.seeker import Host, Seeker, Waiter
--- a/roadlift/pins/table.py
+++ b/roadlift/pins/table.py
@@ -1,14 +1,15 @@
-"""Keep the pins that this process holds on copies at endpoints.
+"""Store the pins that this process holds on copies at endpoints.
 
-A request is sent to a copy only under a pin, and a pin is given back only
-when no request runs under it. It is kept for some seconds after the last
-one, so that the next requests of an adapter cost no message. Rules, by the
-specification's names:
+A request is sent to a copy only under a pin, and a pin is released only when
+no request runs under it. It is kept for some seconds after the last request,
+so that the next requests for the adapter cost no message. Rules, by their
+names in the specification:
 
 * ``send_pinned``: a request is sent only under a pin that is held.
-* ``return_idle``: a pin is given back only while nothing runs under it.
-* ``accept_asked``: a grant is taken only for an asking that is still open,
-  once, within its time, and not from an epoch before one that was counted.
+* ``return_idle``: a pin is released only while no request runs under it.
+* ``accept_asked``: a grant is accepted only for a pin request that is still
+  open, once, before its deadline, and not from an epoch earlier than one
+  whose census was answered.
 """
 
 from typing import NamedTuple
@@ -19,10 +20,15 @@
 
 
 class HeldPin:
-    """A pin on ``copy`` at ``endpoint``; ``running`` requests use it."""
+    """A pin on ``copy`` at ``endpoint``.
+
+    ``running`` requests use it now and ``started_count`` have used it in all.
+    ``uses`` counts those since the last report, without the request that the
+    grant was for. A ``recalled`` pin accepts no new request.
+    """
 
     __slots__ = (
-        "endpoint", "copy", "model", "nonce", "running", "uses", "begun",
+        "endpoint", "copy", "model", "nonce", "running", "uses", "started_count",
         "idle_since", "recalled",
     )  # fmt: skip
 
@@ -33,19 +39,19 @@
         self.nonce = grant.nonce
         self.running = 0
         self.uses = 0
-        self.begun = 0
+        self.started_count = 0
         self.idle_since = now
         self.recalled = False
 
 
-class _Asking(NamedTuple):
+class _PinRequest(NamedTuple):
     endpoint: str
     model: str
     deadline: float
 
 
 class PinTable:
-    """The pins and open askings of one process.
+    """The pins and open pin requests of one process.
 
     An idle pin is kept for ``keep`` seconds if at least ``worth_keeping``
     requests ran under it.
@@ -56,68 +62,68 @@
         self._worth_keeping = worth_keeping
         self._pins: dict[tuple[str, str], HeldPin] = {}
         self._models: dict[str, list[HeldPin]] = {}
-        self._askings: dict[int, _Asking] = {}
+        self._requests: dict[int, _PinRequest] = {}
         self._epochs: dict[str, int] = {}
-        self._asked: set[str] = set()
+        self._requested: set[str] = set()
         self._nonce = 0
         self._serial = 0
 
     def ask(self, endpoint: str, model: str, deadline: float) -> int:
-        """Open an asking and return its nonce."""
+        """Open a pin request and return its nonce."""
         self._nonce += 1
-        self._askings[self._nonce] = _Asking(endpoint, model, deadline)
-        self._asked.add(endpoint)
+        self._requests[self._nonce] = _PinRequest(endpoint, model, deadline)
+        self._requested.add(endpoint)
         return self._nonce
 
     def cancel(self, nonce: int) -> None:
-        """Close an asking; a grant to it won't be taken."""
-        self._askings.pop(nonce, None)
+        """Close a pin request; a later grant for it is not accepted."""
+        self._requests.pop(nonce, None)
 
     def accept(self, grant: Grant, now: float) -> HeldPin | None:
-        """Take a grant; None means that it must not be used."""
-        asking = self._askings.pop(grant.nonce, None)
-        if asking is None or asking.endpoint != grant.endpoint:
+        """Accept a grant and return its pin; None if it must not be used."""
+        request = self._requests.pop(grant.nonce, None)
+        if request is None or request.endpoint != grant.endpoint:
             return None
-        if now >= asking.deadline or grant.epoch < self._epochs.get(grant.endpoint, 0):
+        if now >= request.deadline or grant.epoch < self._epochs.get(grant.endpoint, 0):
             return None
         key = (grant.endpoint, grant.copy)
         pin = self._pins.get(key)
         if pin is None:
-            pin = self._pins[key] = HeldPin(grant, asking.model, now)
+            pin = self._pins[key] = HeldPin(grant, request.model, now)
             self._models.setdefault(pin.model, []).append(pin)
         pin.nonce = max(pin.nonce, grant.nonce)
         return pin
 
     def find(self, model: str) -> list[HeldPin]:
-        """Return the pins under which ``model`` may be sent."""
+        """Return the pins under which requests for ``model`` may be sent."""
         return [pin for pin in self._models.get(model, ()) if not pin.recalled]
 
     def begin(self, pin: HeldPin) -> bool:
-        """Count a request as running; False where the pin is gone."""
+        """Count a request as running; return False if the pin is not held."""
         if self._pins.get((pin.endpoint, pin.copy)) is not pin:
             return False
         pin.running += 1
-        if pin.begun:
-            # The owner has counted the first one with its grant.
+        if pin.started_count:
+            # The owner counted the first request with its grant.
             pin.uses += 1
-        pin.begun += 1
+        pin.started_count += 1
         return True
 
     def end(self, pin: HeldPin, now: float) -> Release | None:
-        """Count a request as over; a pin of no more use is given back.
+        """Count a request as ended; return the release of an unneeded pin.
 
-        A pin under which only one request ever ran is given back at once:
-        keeping it would save no message and hold a slot.
+        By default a pin under which only one request ever ran is released at
+        once: keeping it would save no message and occupy an adapter slot.
         """
         pin.running -= 1
         pin.idle_since = now
-        is_spent = pin.recalled or pin.begun < self._worth_keeping
+        is_spent = pin.recalled or pin.started_count < self._worth_keeping
         if is_spent and not pin.running:
             return self._give_back(pin)
         return None
 
     def recall(self, endpoint: str, copy: str) -> Release | None:
-        """Take no new request under a pin; give it back once idle."""
+        """Admit no new request under a pin; release it once it is idle."""
         pin = self._pins.get((endpoint, copy))
         if pin is None:
             return None
@@ -125,11 +131,11 @@
         return None if pin.running else self._give_back(pin)
 
     def drop(self, pin: HeldPin) -> None:
-        """Use a pin no more, as the endpoint refused its copy by name."""
+        """Stop using a pin, as the endpoint refused the name of its copy."""
         pin.recalled = True
 
     def return_idle(self, now: float) -> list[Release]:
-        """Give back the pins that were idle for the time to keep them."""
+        """Release the pins that have been idle for the keep time."""
         idle = [
             pin
             for pin in self._pins.values()
@@ -138,7 +144,7 @@
         return [self._give_back(pin) for pin in idle]
 
     def count(self, census: Census, yielded: list[int]) -> Count | None:
-        """Answer a census; from now on no older grant is taken."""
+        """Answer a census; reject grants of earlier epochs from then on."""
         if census.epoch < self._epochs.get(census.endpoint, 0):
             return None
         self._epochs[census.endpoint] = census.epoch
@@ -150,32 +156,35 @@
         return self._epochs.get(endpoint, 0)
 
     def report(self, endpoint: str) -> Report:
-        """Return the report to the owner of ``endpoint``."""
+        """Return the report for an endpoint's owner, and reset the uses."""
         self._serial += 1
-        floor = min(self._askings, default=self._nonce + 1)
-        report = Report(endpoint, self._serial, floor, self._list_pins(endpoint))
+        lowest_open_nonce = min(self._requests, default=self._nonce + 1)
+        report = Report(
+            endpoint, self._serial, lowest_open_nonce, self._list_pins(endpoint)
+        )
         for pin in self._pins.values():
             if pin.endpoint == endpoint:
                 pin.uses = 0
         return report
 
     def list_reports(self) -> list[Report]:
-        """Return a report for each endpoint that was asked or is pinned.
+        """Return a report for each endpoint with a pin or a recent request.
 
-        An endpoint gets one report more after its last pin, so that a grant
-        which was lost on its way is not held for ever.
+        An endpoint whose pin was requested since the last call gets a report
+        too, so that the owner does not keep a grant for ever that was lost on
+        its way here.
         """
         pinned = {endpoint for endpoint, _ in self._pins}
-        due = sorted(pinned | self._asked)
-        self._asked = {asking.endpoint for asking in self._askings.values()}
+        due = sorted(pinned | self._requested)
+        self._requested = {request.endpoint for request in self._requests.values()}
         return [self.report(endpoint) for endpoint in due]
 
     def count_pins(self) -> int:
-        """Return how many pins are held."""
+        """Return the number of pins held."""
         return len(self._pins)
 
     def count_running(self, endpoint: str) -> int:
-        """Return this process's running requests at an endpoint."""
+        """Return the number of local running requests at an endpoint."""
         return sum(p.running for p in self._pins.values() if p.endpoint == endpoint)
 
     def _list_pins(self, endpoint: str) -> list[list]:
