--- a/roadlift/idempotency/__init__.py
+++ b/roadlift/idempotency/__init__.py
@@ -1,6 +1,6 @@
-"""Run a request that may not be repeated at most once.
+"""Run a request that must not be repeated at most once.
 
-Public surface: ``Claims``, ``Claim`` and ``StoredAnswer``.
+Public API: ``Claims``, ``Claim`` and ``StoredAnswer``.
 """
 
 from roadlift.idempotency.claims import Claim, Claims, StoredAnswer
--- a/roadlift/idempotency/claims.py
+++ b/roadlift/idempotency/claims.py
@@ -1,14 +1,15 @@
-"""Claim an idempotency key in the table service before the run.
-
-The row of a key is inserted if absent, with the claimant's own id, before a
-byte goes to an endpoint. A lost reply is read back by that id. The row then
-moves, by compare-and-set, to DONE with the answer or to RELEASED where the
-request provably did not run; a row that stays CLAIMED is in doubt and never
-runs again. Rules, by the specification's names:
-
-* ``claim_first``: nothing is sent before the claim is known to be ours.
-* ``read_back``: a claim whose reply was lost is read, never assumed.
-* ``release_unrun``: a claim is released only where nothing was sent.
+"""Claim an idempotency key in the table service before the request runs.
+
+The row of a key is inserted if absent, with a unique claimant id, before any
+byte is sent to an endpoint. After a lost reply the row is read, and the id
+shows whose claim it is. The row is then updated, by compare-and-set, to DONE
+with the answer, or to RELEASED if the request provably did not run. The
+outcome of a row that stays CLAIMED is unconfirmed; its request never runs
+again. Rules, by their names in the specification:
+
+* ``claim_first``: nothing is sent before the claim is known to be held.
+* ``read_back``: a claim whose reply was lost is read back, never assumed.
+* ``release_unrun``: a claim is released only if nothing was sent.
 """
 
 import base64
@@ -30,13 +31,13 @@
 CLAIMED = "claimed"
 DONE = "done"
 RELEASED = "released"
-INLINE_LIMIT = 16384  # Bytes of an answer kept in the row itself.
-RETRY_SECONDS = 1.0  # Between tries to settle a claim at a store that is away.
+INLINE_LIMIT = 16384  # Largest answer stored in the row itself, in bytes.
+RETRY_SECONDS = 1.0  # Between attempts while the store is unavailable.
 MOST_RETRIES = 600
 
 
 class StoredAnswer(NamedTuple):
-    """An answer that a repeated request gets; ``body`` is whole."""
+    """An answer that is replayed to a repeated request, with its full body."""
 
     status: int
     headers: dict[str, str]
@@ -44,7 +45,7 @@
 
 
 class Claim(NamedTuple):
-    """A key that is ours, with the version of its row."""
+    """A key that this claimant holds, with the version of its row."""
 
     key: str
     claimant: str
@@ -62,12 +63,12 @@
     object: str = ""
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Serialise the record to a row's value."""
         return json.dumps(self._asdict()).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "_Record":
-        """Read a row's value."""
+        """Parse a row's value."""
         return cls(**json.loads(value))
 
 
@@ -83,18 +84,18 @@
 
 
 def compute_key(organisation: str, key: str) -> str:
-    """Return the row's key; organisations can't meet each other's keys."""
+    """Return the row's key, so that keys of organisations never collide."""
     digest = hashlib.sha256(f"{organisation}\0{key}".encode()).hexdigest()
     return f"idempotency/{digest}"
 
 
 def compute_fingerprint(path: str, body: bytes) -> str:
-    """Return what has to be the same when a key is used again."""
+    """Return the fingerprint that has to match when a key is used again."""
     return hashlib.sha256(path.encode() + b"\0" + body).hexdigest()
 
 
 class Claims:
-    """The claims of one process against the table service."""
+    """The claims of one process in the table service."""
 
     def __init__(self, store: Store, loop: Loop, process: str) -> None:
         self._store = store
@@ -110,11 +111,12 @@
         on_answer: OnAnswer,
         on_error: OnError,
     ) -> None:
-        """Claim a key, or get its stored answer, or the reason why not.
+        """Claim a key, or get its stored answer, or an error.
 
-        ``on_error`` gets IdempotencyInProgress where the first run is under
-        way or in doubt, IdempotencyMismatch where the key stands for another
-        request and IdempotencyUnavailable, not run, where the store is away.
+        ``on_error`` gets IdempotencyInProgress if the first run is in
+        progress or unconfirmed, IdempotencyMismatch if the key belongs to
+        another request, and IdempotencyUnavailable if the store is
+        unavailable and nothing was run.
         """
         self._serial += 1
         claimant = f"{self._process}/{self._serial}"
@@ -123,41 +125,41 @@
         self._insert(key, record, ABSENT, handlers)
 
     def settle(self, claim: Claim, answer: StoredAnswer) -> None:
-        """Keep the answer for repeats of the request."""
+        """Store the answer for repeats of the request."""
         record = _Record(
             DONE, claim.claimant, claim.fingerprint, answer.status, answer.headers
         )
         if len(answer.body) <= INLINE_LIMIT:
             body = base64.b64encode(answer.body).decode()
-            self._replace(claim, record._replace(body=body), 0)
+            self._write_outcome(claim, record._replace(body=body), 0)
             return
         digest = hashlib.sha256(answer.body).hexdigest()
 
-        def keep(_: Row) -> None:
-            """Point the row at the object."""
-            self._replace(claim, record._replace(object=digest), 0)
+        def write_reference(_: Row) -> None:
+            """Write the row with a reference to the stored object."""
+            self._write_outcome(claim, record._replace(object=digest), 0)
 
         def fail(error: RoadliftError) -> None:
-            """Write the object again later."""
+            """Retry the write of the object later."""
             self._loop.call_later(RETRY_SECONDS, lambda: self.settle(claim, answer))
 
-        self._store.write_object(digest, answer.body, keep, fail)
+        self._store.write_object(digest, answer.body, write_reference, fail)
 
     def release(self, claim: Claim) -> None:
-        """Free a key whose request provably did not run."""
+        """Release a key whose request provably did not run."""
         record = _Record(RELEASED, claim.claimant, claim.fingerprint)
-        self._replace(claim, record, 0)
+        self._write_outcome(claim, record, 0)
 
     def _insert(
         self, key: str, record: _Record, expected: str, handlers: _Handlers
     ) -> None:
         def receive(row: Row) -> None:
-            """Hand the claim over."""
+            """Report the new claim."""
             version = row.version
             handlers.on_claim(Claim(key, record.claimant, record.fingerprint, version))
 
         def fail(error: RoadliftError) -> None:
-            """Find out whose claim stands."""
+            """Read the row to see which claim it holds."""
             self._read_back(key, record, error, handlers)
 
         self._store.write_row(key, record.encode(), expected, receive, fail)
@@ -165,21 +167,23 @@
     def _read_back(
         self, key: str, record: _Record, cause: RoadliftError, handlers: _Handlers
     ) -> None:
-        """Find out whose claim stands after a conflict or a lost reply."""
+        """Read which claim the row holds after a conflict or a lost reply."""
 
         def receive(row: Row) -> None:
-            """Act on the row as it stands."""
-            self._judge(key, record, row, cause, handlers)
+            """Classify the row as read."""
+            self._classify_row(key, record, row, cause, handlers)
 
         def fail(error: RoadliftError) -> None:
-            # Our claim may stand although nothing will be sent under it.
-            """Refuse, and take back what may stand."""
-            self._loop.call_later(RETRY_SECONDS, lambda: self._abandon(key, record, 0))
+            # The claim may have been written; nothing will be sent under it.
+            """Report the store as unavailable and release a possible claim."""
+            self._loop.call_later(
+                RETRY_SECONDS, lambda: self._release_unconfirmed(key, record, 0)
+            )
             handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_SECONDS))
 
         self._store.read_row(key, receive, fail)
 
-    def _judge(
+    def _classify_row(
         self,
         key: str,
         record: _Record,
@@ -188,8 +192,8 @@
         handlers: _Handlers,
     ) -> None:
         if row.version == ABSENT:
-            # The write did not take effect so far, but a late one still may.
-            self._abandon(key, record, 0)
+            # The write has not taken effect yet, but a delayed one still may.
+            self._release_unconfirmed(key, record, 0)
             handlers.on_error(IdempotencyUnavailable(cause.detail, RETRY_SECONDS))
             return
         found = _Record.decode(row.value)
@@ -208,62 +212,63 @@
             handlers.on_error(IdempotencyInProgress(key[-12:], RETRY_SECONDS))
 
     def _load_answer(self, found: _Record, handlers: _Handlers) -> None:
-        def give(body: bytes) -> None:
-            """Pass the stored answer on."""
+        def deliver(body: bytes) -> None:
+            """Return the stored answer to the caller."""
             handlers.on_answer(StoredAnswer(found.status, found.headers, body))
 
         def fail(error: RoadliftError) -> None:
-            """Tell that the answer can't be read now."""
+            """Report that the answer can't be read now."""
             handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_SECONDS))
 
         if not found.object:
-            give(base64.b64decode(found.body))
+            deliver(base64.b64decode(found.body))
             return
-        self._store.read_object(found.object, lambda row: give(row.value), fail)
+        self._store.read_object(found.object, lambda row: deliver(row.value), fail)
 
-    def _abandon(self, key: str, record: _Record, tries: int) -> None:
-        """Release a claim of ours that may stand although nothing was sent.
+    def _release_unconfirmed(self, key: str, record: _Record, attempts: int) -> None:
+        """Release a claim that may have been written, though nothing was sent.
 
-        Where there is no row, a released one is inserted, so that a late
-        write of the claim meets it and fails.
+        If there is no row, a released one is inserted, so that a delayed write
+        of the claim conflicts with it and fails.
         """
 
         def receive(row: Row) -> None:
-            """Release the row if it is ours."""
-            is_ours = row.version == ABSENT
-            if not is_ours:
+            """Release the row if it is absent or holds this claim."""
+            is_held = row.version == ABSENT
+            if not is_held:
                 found = _Record.decode(row.value)
-                is_ours = found.claimant == record.claimant and found.state == CLAIMED
-            if is_ours:
+                is_held = found.claimant == record.claimant and found.state == CLAIMED
+            if is_held:
                 released = record._replace(state=RELEASED).encode()
                 self._store.write_row(key, released, row.version, _ignore, fail)
 
         def fail(_: RoadliftError) -> None:
-            """Look again later."""
-            if tries < MOST_RETRIES:
+            """Retry later."""
+            if attempts < MOST_RETRIES:
                 self._loop.call_later(
-                    RETRY_SECONDS, lambda: self._abandon(key, record, tries + 1)
+                    RETRY_SECONDS,
+                    lambda: self._release_unconfirmed(key, record, attempts + 1),
                 )
 
         self._store.read_row(key, receive, fail)
 
-    def _replace(self, claim: Claim, record: _Record, tries: int) -> None:
-        """Move our row on; after a lost reply the same write is repeated.
+    def _write_outcome(self, claim: Claim, record: _Record, attempts: int) -> None:
+        """Update the claim's row; after a lost reply repeat the same write.
 
-        The row is ours alone, so a conflict means that an earlier try of the
-        same write took effect.
+        Only the holder of the claim writes its row, so a conflict means that
+        an earlier attempt of the same write took effect.
         """
 
         def fail(error: RoadliftError) -> None:
             """Repeat the write, unless it took effect."""
-            if isinstance(error, VersionConflict) or tries >= MOST_RETRIES:
+            if isinstance(error, VersionConflict) or attempts >= MOST_RETRIES:
                 return
             self._loop.call_later(
-                RETRY_SECONDS, lambda: self._replace(claim, record, tries + 1)
+                RETRY_SECONDS, lambda: self._write_outcome(claim, record, attempts + 1)
             )
 
         self._store.write_row(claim.key, record.encode(), claim.version, _ignore, fail)
 
 
 def _ignore(_: Row) -> None:
-    """Take a row whose content does not matter."""
+    """Ignore a row whose content is not needed."""
--- a/tests/idempotency/claims.feature
+++ b/tests/idempotency/claims.feature
@@ -1,15 +1,15 @@
-Feature: A request that may not be repeated runs at most once
+Feature: A request that must not be repeated runs at most once
 
-  Scenario Outline: Whatever its store calls meet, a try knows what it may do
+  Scenario Outline: An attempt gets a safe outcome whatever fails in its store calls
     Given a key at a store whose calls meet "<script>"
-    When a try claims the key
-    Then it is told <told>
-    When the late writes take effect and 5 s pass
-    And another try claims the key
-    Then it is told <then>
+    When an attempt claims the key
+    Then the outcome of the claim is <first>
+    When the delayed writes take effect and 5 s pass
+    And another attempt claims the key
+    Then the outcome of the claim is <second>
 
     Examples:
-      | script               | told                    | then                    |
+      | script               | first                   | second                  |
       | ok                   | claimed                 | idempotency_in_progress |
       | lost ok              | claimed                 | idempotency_in_progress |
       | down ok              | idempotency_unavailable | claimed                 |
@@ -20,32 +20,32 @@
       | late down            | idempotency_unavailable | claimed                 |
       | late down down lost  | idempotency_unavailable | claimed                 |
 
-  Scenario Outline: What became of a claim decides what a repeat gets
-    Given a key that was claimed and then <became>
-    When another try claims the key
-    Then it is told <told>
+  Scenario Outline: The state of a claim decides the outcome of a repeat
+    Given a key that was claimed and then <state>
+    When another attempt claims the key
+    Then the outcome of the claim is <outcome>
 
     Examples:
-      | became                            | told                    |
-      | left in doubt                     | idempotency_in_progress |
+      | state                             | outcome                 |
+      | left unconfirmed                  | idempotency_in_progress |
       | released as not run               | claimed                 |
       | released with a lost reply        | claimed                 |
       | answered                          | answered                |
-      | answered at length                | answered                |
+      | answered with a long body         | answered                |
       | answered with a lost reply        | answered                |
-      | answered while the store was away | answered                |
+      | answered while the store was down | answered                |
 
-  Scenario: A key that stands for another request is refused
+  Scenario: A key that belongs to another request is refused
     Given a key that was claimed and then answered
-    When another try claims the key for another request
-    Then it is told idempotency_mismatch
+    When another attempt claims the key for another request
+    Then the outcome of the claim is idempotency_mismatch
 
-  Scenario: Many tries at once claim a key once
+  Scenario: Of many concurrent attempts one claims the key
     Given a key at a store whose calls meet "ok"
-    When 5 tries claim the key at the same moment
-    Then exactly one is told claimed and the others idempotency_in_progress
+    When 5 attempts claim the key at the same moment
+    Then exactly one has the outcome claimed and the others idempotency_in_progress
 
-  Scenario: Organisations do not meet each other's keys
+  Scenario: Keys of organisations do not collide
     Then the rows of one key for two organisations differ
 
   Scenario Outline: A claim and its answer cost few store calls
--- a/tests/steps/idempotency_steps.py
+++ b/tests/steps/idempotency_steps.py
@@ -1,4 +1,4 @@
-"""Steps on idempotency claims."""
+"""Steps for idempotency claims."""
 
 from behave import given, then, when
 
@@ -13,14 +13,14 @@
 from tests.support.stores import LateStore, MemoryStore
 
 KEY = compute_key("t", "key")
-PRINT = compute_fingerprint("labels /labels", b"body")
+FINGERPRINT = compute_fingerprint("labels /labels", b"body")
 
 
-class Try:
-    """One try and what it was told."""
+class ClaimAttempt:
+    """One attempt to claim the key, and its outcome."""
 
-    def __init__(self, context, fingerprint=PRINT):
-        self.told = "nothing"
+    def __init__(self, context, fingerprint=FINGERPRINT):
+        self.outcome = "nothing"
         self.claim = None
         self.answer = None
         context.claims.claim(
@@ -28,13 +28,13 @@
         )
 
     def _on_claim(self, claim):
-        self.told, self.claim = "claimed", claim
+        self.outcome, self.claim = "claimed", claim
 
     def _on_answer(self, answer):
-        self.told, self.answer = "answered", answer
+        self.outcome, self.answer = "answered", answer
 
     def _on_error(self, error):
-        self.told = error.code
+        self.outcome = error.code
 
 
 def _set_up(context, script):
@@ -56,37 +56,37 @@
     _set_up(context, script.split())
 
 
-@when("a try claims the key")
-@when("another try claims the key")
+@when("an attempt claims the key")
+@when("another attempt claims the key")
 def step_claim(context):
     """Claim the key."""
-    context.last = Try(context)
+    context.last = ClaimAttempt(context)
 
 
-@then("it is told {told}")
-def step_told(context, told):
-    """Check what the last try was told."""
-    assert context.last.told == told, context.last.told
-    if told == "answered":
+@then("the outcome of the claim is {outcome}")
+def step_outcome(context, outcome):
+    """Check the outcome of the last attempt."""
+    assert context.last.outcome == outcome, context.last.outcome
+    if outcome == "answered":
         assert context.last.answer == context.answer
 
 
-@when("the late writes take effect and {seconds:d} s pass")
-def step_late(context, seconds):
-    """Let late writes arrive after the try has gone on."""
+@when("the delayed writes take effect and {seconds:d} s pass")
+def step_delayed(context, seconds):
+    """Apply delayed writes after the attempt has ended."""
     context.store.apply_late()
     _advance(context, seconds)
 
 
-@given("a key that was claimed and then {became}")
-def step_became(context, became):
-    """Claim a key and let something become of the claim."""
+@given("a key that was claimed and then {state}")
+def step_state(context, state):
+    """Claim a key and bring its claim to the given state."""
     _set_up(context, [])
-    claim = Try(context).claim
+    claim = ClaimAttempt(context).claim
     context.answer = StoredAnswer(200, {"Content-Type": "text/plain"}, b"made")
     script = context.store._script
-    match became:
-        case "left in doubt":
+    match state:
+        case "left unconfirmed":
             pass
         case "released as not run":
             context.claims.release(claim)
@@ -95,48 +95,50 @@
             context.claims.release(claim)
         case "answered":
             context.claims.settle(claim, context.answer)
-        case "answered at length":
+        case "answered with a long body":
             context.answer = context.answer._replace(body=b"x" * 100_000)
             context.claims.settle(claim, context.answer)
         case "answered with a lost reply":
             script.append("lost")
             context.claims.settle(claim, context.answer)
-        case "answered while the store was away":
+        case "answered while the store was down":
             script.extend(["down"] * 3)
             context.claims.settle(claim, context.answer)
         case _:
-            raise AssertionError(f"nothing becomes {became}")
+            raise AssertionError(f"unknown state of a claim: {state!r}")
     _advance(context, 5)
 
 
-@when("another try claims the key for another request")
+@when("another attempt claims the key for another request")
 def step_other(context):
     """Claim the key with another body."""
-    context.last = Try(context, compute_fingerprint("labels /labels", b"other"))
+    context.last = ClaimAttempt(
+        context, compute_fingerprint("labels /labels", b"other")
+    )
 
 
-@when("{count:d} tries claim the key at the same moment")
+@when("{count:d} attempts claim the key at the same moment")
 def step_many(context, count):
     """Claim the key many times before any is settled."""
-    context.tries = [Try(context) for _ in range(count)]
+    context.attempts = [ClaimAttempt(context) for _ in range(count)]
 
 
-@then("exactly one is told claimed and the others {code}")
+@then("exactly one has the outcome claimed and the others {code}")
 def step_exactly_one(context, code):
-    """Check the tries."""
-    told = sorted(one.told for one in context.tries)
-    assert told == sorted(["claimed"] + [code] * (len(told) - 1)), told
+    """Check the outcomes of all attempts."""
+    outcomes = sorted(attempt.outcome for attempt in context.attempts)
+    assert outcomes == sorted(["claimed"] + [code] * (len(outcomes) - 1)), outcomes
 
 
 @then("the rows of one key for two organisations differ")
 def step_organisations(context):
-    """Check that keys are apart by organisation."""
+    """Check that row keys differ between organisations."""
     assert compute_key("a", "key") != compute_key("b", "key")
     assert compute_key("a", "bkey") != compute_key("ab", "key")
 
 
 @then("it took {reads:d} reads and {writes:d} writes")
 def step_cost(context, reads, writes):
-    """Check the store calls."""
+    """Check the number of store calls."""
     counted = (context.store.reads, context.store.writes)
     assert counted == (reads, writes), counted
