--- a/roadlift/membership/__init__.py
+++ b/roadlift/membership/__init__.py
@@ -1,7 +1,7 @@
-"""Know which instances are there, by heartbeats between them.
+"""Maintain the list of instances by heartbeats between them.
 
-Public surface: ``Detector`` and ``Member``. docs/internals/membership.md has
-the reasons and the measured costs.
+Public API: ``Detector`` and ``Member``. docs/internals/membership.md has the
+reasons and the measured costs.
 """
 
 from roadlift.membership.detector import Detector, Timing
--- a/roadlift/membership/detector.py
+++ b/roadlift/membership/detector.py
@@ -1,9 +1,10 @@
-"""Detect failures by probing one random instance each period.
+"""Detect failures by probing one random instance each period (as in SWIM).
 
-Each period a process pings one other, asks a few more to ping it where no
-answer comes, suspects it where none of them heard, and believes it dead
-where it does not refute that in time. News travels on the pings. The cost of
-a process does not grow with the number of instances, as that of a mesh of
+Each period a process pings one other instance. If no ack arrives, it requests
+a few more instances to ping it too; if none of them gets an ack, it suspects
+the instance, and presumes it dead unless the suspicion is refuted in time.
+Membership updates are piggybacked on pings and acks. The cost per process
+does not grow with the number of instances, as that of a full mesh of
 heartbeats does. The detector sends nothing itself: it returns messages.
 """
 
@@ -17,12 +18,16 @@
 from roadlift.membership.members import Member, State
 from roadlift.membership.messages import Ack, Join, Ping, Probe, Roster
 
-NEWS_IN_MESSAGE = 6  # Members told with one ping or ack.
-MOST_DIFFERENCES = 6  # Messages in a row that may differ in the members known.
+NEWS_IN_MESSAGE = 6  # Updates of members sent with one ping or ack.
+MOST_DIFFERENCES = 6  # Differing fingerprints until a roster is requested.
 
 
 class Timing(NamedTuple):
-    """Periods of the detector, in seconds."""
+    """Intervals and time-outs of the detector, in seconds.
+
+    ``helpers`` is the number of instances that are requested to ping one that
+    does not answer.
+    """
 
     period: float = 1.0
     answer: float = 0.4
@@ -41,15 +46,15 @@
     message: object
 
 
-class _Probing(NamedTuple):
+class _PendingProbe(NamedTuple):
     target: str
     sent_at: float
-    helped: bool
-    on_behalf: tuple[str, int] | None
+    is_escalated: bool
+    requested_by: tuple[str, int] | None
 
 
 class Detector:
-    """What one process knows of all instances."""
+    """The membership state of all instances as one process knows it."""
 
     def __init__(
         self,
@@ -69,22 +74,22 @@
         self._gone: set[str] = set()
         self._news: dict[str, int] = {}
         self._suspected_at: dict[str, float] = {}
-        self._probing: dict[int, _Probing] = {}
-        self._order: list[str] = []
+        self._pending_probes: dict[int, _PendingProbe] = {}
+        self._probe_order: list[str] = []
         self._serial = 0
-        self._next_period = 0.0
-        self._next_rejoin = 0.0
+        self._next_probe_at = 0.0
+        self._next_rejoin_at = 0.0
         self._changed = True
-        self._differences = 0
-        self._print: int | None = None
-        self._agreed_at: float | None = None
+        self._mismatches = 0
+        self._fingerprint: int | None = None
+        self._agreed_since: float | None = None
         self._started_at = clock.now()
-        self._tell(own)
+        self._queue_update(own)
 
-    # What is known.
+    # Queries.
 
     def list_members(self, *states: State) -> list[Member]:
-        """Return the members in any of the states, or all, by name."""
+        """Return the members in any of ``states``, or all, sorted by name."""
         return [
             member
             for _, member in sorted(self._members.items())
@@ -92,16 +97,16 @@
         ]
 
     def get_member(self, name: str) -> Member | None:
-        """Return what is known of an instance."""
+        """Return the member of an instance's name, or None."""
         return self._members.get(name)
 
     def find_process(self, process: str) -> Member | None:
-        """Return the member whose process this is, or None."""
+        """Return the member with this process, or None."""
         member = self._members.get(process.rpartition("#")[0])
         return member if member and member.process == process else None
 
     def list_unproven(self) -> list[str]:
-        """Return every process that is not proven dead, but this one."""
+        """Return all other processes that are not proven dead."""
         return [
             member.process
             for member in self.list_members()
@@ -109,50 +114,50 @@
         ]
 
     def has_agreed(self, seconds: float) -> bool:
-        """Tell whether all messages for some seconds came from like minds.
+        """Return whether fingerprints have matched for ``seconds``.
 
-        Then the processes known here are those known to the others. One that
-        knows nobody agrees with itself after twice as long.
+        Then the other instances know the same processes as this one. A
+        process that knows no other counts as agreed after twice that time.
         """
         now = self._clock.now()
         if not self.list_unproven():
             return now - self._started_at >= 2 * seconds
-        return self._agreed_at is not None and now - self._agreed_at >= seconds
+        return self._agreed_since is not None and now - self._agreed_since >= seconds
 
     def has_settled(self, seconds: float) -> bool:
-        """Tell whether a roster came, or nobody gave one for some seconds."""
+        """Return whether a roster arrived, or none did for ``seconds``."""
         return self.has_joined or self._clock.now() - self._started_at >= seconds
 
     def is_gone(self, process: str) -> bool:
-        """Tell whether a process is proven dead."""
+        """Return whether a process is proven dead."""
         return process in self._gone
 
     def pop_changed(self) -> bool:
-        """Tell whether any member changed since the last call."""
+        """Return whether any member changed since the last call."""
         changed, self._changed = self._changed, False
         return changed
 
-    # What this process says of itself and finds out.
+    # Changes by this process.
 
     def leave(self) -> list[Sending]:
-        """Say that this process takes no new work; tell some at once."""
-        self._change_own(State.LEAVING)
-        return self._tell_some()
+        """Announce to some peers that this process takes no new work."""
+        self._set_local_state(State.LEAVING)
+        return self._ping_some()
 
     def go(self) -> list[Sending]:
-        """Say as the last word that this process is gone."""
-        self._change_own(State.GONE)
-        return self._tell_some(everyone=True)
+        """Announce to all peers, as a last message, that this process ends."""
+        self._set_local_state(State.GONE)
+        return self._ping_some(everyone=True)
 
     def prove_gone(self, process: str) -> None:
-        """Take a proof of a death, such as a refused connection."""
+        """Record the proof of a death, such as a refused connection."""
         member = self.find_process(process)
         if member is not None:
-            self._learn(member._replace(state=State.GONE))
+            self._apply_update(member._replace(state=State.GONE))
         self._gone.add(process)
 
     def join(self, addresses: Iterable[str]) -> list[Sending]:
-        """Ask instances at known addresses for all members."""
+        """Request all members from the instances at ``addresses``."""
         return [
             Sending(address, Join(list(self.own)))
             for address in addresses
@@ -162,137 +167,141 @@
     # Time and messages.
 
     def tick(self) -> list[Sending]:
-        """Do what is due now; call it a few times a period."""
+        """Run the checks that are due; to be called a few times a period."""
         now = self._clock.now()
-        out = self._follow_probes(now)
-        self._bury_suspects(now)
-        if now >= self._next_period:
-            self._next_period = now + self._timing.period
+        out = self._check_pending_probes(now)
+        self._expire_suspects(now)
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + self._timing.period
             out += self._probe_next(now)
-        if now >= self._next_rejoin:
-            self._next_rejoin = now + self._timing.rejoin
+        if now >= self._next_rejoin_at:
+            self._next_rejoin_at = now + self._timing.rejoin
             out += self._rejoin_dead()
         return out
 
     def receive(self, sender: str, message: object) -> list[Sending]:
-        """Take a message of the process ``sender`` and return the answers."""
+        """Handle a message from the process ``sender``; return the replies."""
         match message:
             case Ping(serial, members, head, fingerprint):
-                self._learn_all(members)
+                self._apply_updates(members)
                 out = self._compare(sender, head, fingerprint)
                 return out + self._answer(sender, serial)
             case Ack(serial, members, head, fingerprint):
-                self._learn_all(members)
+                self._apply_updates(members)
                 out = self._compare(sender, head, fingerprint)
                 return out + self._finish_probe(serial)
             case Probe(serial, target):
-                return self._help(sender, serial, target)
+                return self._ping_on_behalf(sender, serial, target)
             case Join(member):
-                return self._welcome(Member(*member))
+                return self._answer_join(Member(*member))
             case Roster(members):
-                self._learn_roster(members)
+                self._apply_roster(members)
         return []
 
     # Helpers.
 
     def _compare(self, sender: str, head: int, fingerprint: int) -> list[Sending]:
-        """Ask for all members where news seem to have been missed.
+        """Request all members if updates seem to have been missed.
 
-        News on their way make fingerprints differ for some messages; where
-        they still do after that, something is known there and not here.
+        Updates in transit make fingerprints differ for some messages. If they
+        still differ after that, the peers know of changes unknown here.
         """
         self.heads[sender.rpartition("#")[0]] = head
-        if fingerprint == self._measure_print():
-            self._differences = 0
-            if self._agreed_at is None:
-                self._agreed_at = self._clock.now()
+        if fingerprint == self._compute_fingerprint():
+            self._mismatches = 0
+            if self._agreed_since is None:
+                self._agreed_since = self._clock.now()
             return []
-        self._agreed_at = None
-        self._differences += 1
+        self._agreed_since = None
+        self._mismatches += 1
         member = self.find_process(sender) or self._pick_alive()
-        if self._differences < MOST_DIFFERENCES or member is None:
+        if self._mismatches < MOST_DIFFERENCES or member is None:
             return []
-        self._differences = 0
+        self._mismatches = 0
         return self.join([member.peer])
 
     def _pick_alive(self) -> Member | None:
-        """Return some other member, to ask in an unknown one's place."""
+        """Return a random other member, in place of an unknown sender."""
         others = [m for m in self.list_members(State.ALIVE) if m.name != self.own.name]
         return self._rng.choice(others) if others else None
 
-    def _measure_print(self) -> int:
-        """Return a fingerprint of the processes that are not gone."""
-        if self._print is None:
-            self._print = 0
+    def _compute_fingerprint(self) -> int:
+        """Return the fingerprint of all processes that are not gone."""
+        if self._fingerprint is None:
+            self._fingerprint = 0
             for member in self._members.values():
                 if member.state != State.GONE:
-                    self._print ^= zlib.crc32(member.process.encode())
-        return self._print
+                    self._fingerprint ^= zlib.crc32(member.process.encode())
+        return self._fingerprint
 
     def _answer(self, sender: str, serial: int) -> list[Sending]:
         member = self.find_process(sender)
         if member is None:
             return []
-        ack = Ack(serial, self._pick_news(member), self.head, self._measure_print())
+        ack = Ack(
+            serial, self._pick_updates(member), self.head, self._compute_fingerprint()
+        )
         return [Sending(member.peer, ack)]
 
     def _finish_probe(self, serial: int) -> list[Sending]:
-        probing = self._probing.pop(serial, None)
-        if probing is None or probing.on_behalf is None:
+        probe = self._pending_probes.pop(serial, None)
+        if probe is None or probe.requested_by is None:
             return []
-        process, their_serial = probing.on_behalf
-        return self._answer(process, their_serial)
+        process, requester_serial = probe.requested_by
+        return self._answer(process, requester_serial)
 
-    def _help(self, sender: str, serial: int, target: str) -> list[Sending]:
+    def _ping_on_behalf(self, sender: str, serial: int, target: str) -> list[Sending]:
         member = self._members.get(target)
         if member is None:
             return []
         return [self._ping(member, self._clock.now(), (sender, serial))]
 
-    def _welcome(self, member: Member) -> list[Sending]:
-        self._learn(member)
+    def _answer_join(self, member: Member) -> list[Sending]:
+        self._apply_update(member)
         members = [list(known) for known in self.list_members()]
         return [Sending(member.peer, Roster(members))]
 
     def _ping(
-        self, member: Member, now: float, on_behalf: tuple[str, int] | None = None
+        self, member: Member, now: float, requested_by: tuple[str, int] | None = None
     ) -> Sending:
         self._serial += 1
-        helped = on_behalf is not None
-        self._probing[self._serial] = _Probing(member.name, now, helped, on_behalf)
-        news = self._pick_news(member)
-        ping = Ping(self._serial, news, self.head, self._measure_print())
+        is_escalated = requested_by is not None
+        self._pending_probes[self._serial] = _PendingProbe(
+            member.name, now, is_escalated, requested_by
+        )
+        updates = self._pick_updates(member)
+        ping = Ping(self._serial, updates, self.head, self._compute_fingerprint())
         return Sending(member.peer, ping)
 
     def _probe_next(self, now: float) -> list[Sending]:
-        while self._order:
-            member = self._members.get(self._order.pop())
+        while self._probe_order:
+            member = self._members.get(self._probe_order.pop())
             if member is not None and member.state < State.DEAD:
                 return [self._ping(member, now)]
-        self._order = [
+        self._probe_order = [
             member.name
             for member in self.list_members()
             if member.state < State.DEAD and member.name != self.own.name
         ]
-        self._rng.shuffle(self._order)
-        if not self._order:
+        self._rng.shuffle(self._probe_order)
+        if not self._probe_order:
             return []
-        return [self._ping(self._members[self._order.pop()], now)]
+        return [self._ping(self._members[self._probe_order.pop()], now)]
 
-    def _follow_probes(self, now: float) -> list[Sending]:
+    def _check_pending_probes(self, now: float) -> list[Sending]:
         out: list[Sending] = []
-        for serial, probing in list(self._probing.items()):
-            age = now - probing.sent_at
-            if not probing.helped and age >= self._timing.answer:
-                self._probing[serial] = probing._replace(helped=True)
-                out += self._ask_helpers(serial, probing.target)
+        for serial, probe in list(self._pending_probes.items()):
+            age = now - probe.sent_at
+            if not probe.is_escalated and age >= self._timing.answer:
+                self._pending_probes[serial] = probe._replace(is_escalated=True)
+                out += self._send_indirect_probes(serial, probe.target)
             elif age >= self._timing.period:
-                del self._probing[serial]
-                if probing.on_behalf is None:
-                    self._suspect(probing.target, now)
+                del self._pending_probes[serial]
+                if probe.requested_by is None:
+                    self._mark_suspect(probe.target, now)
         return out
 
-    def _ask_helpers(self, serial: int, target: str) -> list[Sending]:
+    def _send_indirect_probes(self, serial: int, target: str) -> list[Sending]:
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING)
@@ -302,42 +311,42 @@
         helpers = self._rng.sample(others, count)
         return [Sending(member.peer, Probe(serial, target)) for member in helpers]
 
-    def _suspect(self, name: str, now: float) -> None:
+    def _mark_suspect(self, name: str, now: float) -> None:
         member = self._members.get(name)
         if member is None or member.state >= State.SUSPECT:
             return
-        self._learn(member._replace(state=State.SUSPECT))
+        self._apply_update(member._replace(state=State.SUSPECT))
 
-    def _bury_suspects(self, now: float) -> None:
+    def _expire_suspects(self, now: float) -> None:
         for name, since in list(self._suspected_at.items()):
             member = self._members[name]
             if member.state != State.SUSPECT:
                 del self._suspected_at[name]
             elif now - since >= self._timing.suspicion:
                 del self._suspected_at[name]
-                self._learn(member._replace(state=State.DEAD))
+                self._apply_update(member._replace(state=State.DEAD))
 
     def _rejoin_dead(self) -> list[Sending]:
-        """Ask one dead member, so that a healed partition is noticed."""
+        """Send a join to a dead member, to detect a healed partition."""
         dead = self.list_members(State.DEAD)
         if not dead:
             return []
         return self.join([self._rng.choice(dead).peer])
 
-    def _learn_all(self, members: Iterable[list]) -> None:
+    def _apply_updates(self, members: Iterable[list]) -> None:
         for member in members:
-            self._learn(Member(*member))
+            self._apply_update(Member(*member))
 
-    def _learn_roster(self, members: Iterable[list]) -> None:
-        """Learn all members; who was unknown here is no news to the others."""
+    def _apply_roster(self, members: Iterable[list]) -> None:
+        """Apply a roster; do not propagate members that were unknown here."""
         self.has_joined = True
         for member in members:
             is_known = member[0] in self._members
-            self._learn(Member(*member))
+            self._apply_update(Member(*member))
             if not is_known:
                 self._news.pop(member[0], None)
 
-    def _learn(self, member: Member) -> None:
+    def _apply_update(self, member: Member) -> None:
         if member.name == self.own.name:
             self._refute(member)
             return
@@ -345,34 +354,34 @@
         if known is not None and not member.is_newer(known):
             return
         if known is not None and known.start < member.start:
-            # Another process has the name and address: the old one is dead.
+            # A newer process has the name and address; the old one is dead.
             self._gone.add(known.process)
         if member.state == State.GONE:
             self._gone.add(member.process)
         self._members[member.name] = member
-        self._print = None
-        self._tell(member)
+        self._fingerprint = None
+        self._queue_update(member)
         self._changed = True
         if member.state == State.SUSPECT:
             self._suspected_at[member.name] = self._clock.now()
 
-    def _refute(self, said: Member) -> None:
-        """Raise the own number above what is wrongly said of this process."""
+    def _refute(self, claimed: Member) -> None:
+        """Refute a false state by raising the local incarnation number."""
         own = self.own
-        if said.start != own.start or said.state <= own.state:
+        if claimed.start != own.start or claimed.state <= own.state:
             return
-        self.own = own._replace(number=max(said.number, own.number) + 1)
+        self.own = own._replace(number=max(claimed.number, own.number) + 1)
         self._members[own.name] = self.own
-        self._tell(self.own)
+        self._queue_update(self.own)
 
-    def _change_own(self, state: State) -> None:
+    def _set_local_state(self, state: State) -> None:
         self.own = self.own._replace(state=state, number=self.own.number + 1)
         self._members[self.own.name] = self.own
-        self._print = None
-        self._tell(self.own)
+        self._fingerprint = None
+        self._queue_update(self.own)
         self._changed = True
 
-    def _tell_some(self, everyone: bool = False) -> list[Sending]:
+    def _ping_some(self, everyone: bool = False) -> list[Sending]:
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING, State.SUSPECT)
@@ -384,12 +393,16 @@
         now = self._clock.now()
         return [self._ping(member, now) for member in others]
 
-    def _tell(self, member: Member) -> None:
+    def _queue_update(self, member: Member) -> None:
         count = max(2, len(self._members))
         self._news[member.name] = 3 * math.ceil(math.log2(count))
 
-    def _pick_news(self, to: Member) -> list[list]:
-        """Return the news least told; a suspect always hears of itself."""
+    def _pick_updates(self, to: Member) -> list[list]:
+        """Return the least sent updates for a message to ``to``.
+
+        A suspected or dead receiver always gets its own state, so that it can
+        refute it.
+        """
         names = sorted(self._news, key=self._news.__getitem__, reverse=True)
         names = names[:NEWS_IN_MESSAGE]
         for name in names:
--- a/roadlift/membership/members.py
+++ b/roadlift/membership/members.py
@@ -1,15 +1,15 @@
-"""Define what is known of one instance and which knowledge wins."""
+"""Define the state of an instance, and which of two states supersedes."""
 
 import enum
 from typing import NamedTuple
 
 
 class State(enum.IntEnum):
-    """How an instance is seen; a higher state wins at the same number.
+    """State of an instance; the higher state wins at an equal ``number``.
 
-    DEAD is a belief: it did not answer for long, and may be paused. GONE is
-    proven: it said so itself, its address refuses connections, or another
-    process has its name and address.
+    DEAD is presumed: the instance has not answered for the suspicion time-out
+    and may be paused. GONE is proven: the instance announced it, its address
+    refuses connections, or another process has its name and address.
     """
 
     ALIVE = 0
@@ -22,9 +22,9 @@
 class Member(NamedTuple):
     """One process of an instance.
 
-    ``start`` orders the processes of one instance; ``number`` is raised by
-    the process itself to refute a suspicion; ``peer`` and ``http`` are its
-    addresses as ``host:port``.
+    ``start`` orders the processes of one instance; ``number`` is its
+    incarnation number, which only the process itself raises, as to refute a
+    suspicion; ``peer`` and ``http`` are its addresses as ``host:port``.
     """
 
     name: str
@@ -37,11 +37,11 @@
 
     @property
     def process(self) -> str:
-        """Return the name of the process, unlike any other one's."""
+        """Return the unique name of the process."""
         return f"{self.name}#{self.start}"
 
     def is_newer(self, other: "Member") -> bool:
-        """Tell whether this knowledge replaces the other's."""
+        """Return whether this state supersedes ``other``."""
         return self._rank() > other._rank()
 
     def _rank(self) -> tuple[int, bool, int, int]:
--- a/roadlift/membership/messages.py
+++ b/roadlift/membership/messages.py
@@ -1,7 +1,8 @@
-"""Define the heartbeats between instances.
+"""Define the heartbeat messages between instances.
 
 ``members`` are Member tuples as lists; ``head`` is the number of the bundle
-in force at the sender; ``print`` a fingerprint of the processes it knows.
+in force at the sender; ``print`` is a fingerprint of the processes that the
+sender knows and that are not gone.
 """
 
 from typing import NamedTuple
@@ -11,7 +12,7 @@
 
 @message("ping")
 class Ping(NamedTuple):
-    """Ask an instance to show that it is alive."""
+    """Request an ack from an instance, as evidence that it is alive."""
 
     serial: int
     members: list[list]
@@ -31,7 +32,7 @@
 
 @message("probe")
 class Probe(NamedTuple):
-    """Ask a third instance to ping ``target`` in the sender's place."""
+    """Request that a third instance ping ``target`` for the sender."""
 
     serial: int
     target: str
@@ -39,7 +40,7 @@
 
 @message("join")
 class Join(NamedTuple):
-    """Ask for all members, as an instance that starts or was cut off."""
+    """Request all members, at the start, after a partition or a mismatch."""
 
     member: list
 
--- a/tests/membership/detector.feature
+++ b/tests/membership/detector.feature
@@ -1,6 +1,6 @@
-Feature: Instances know each other by heartbeats
+Feature: Instances track each other by heartbeats
 
-  Scenario Outline: A killed instance is seen, and proven gone
+  Scenario Outline: A killed instance is detected and proven gone
     Given a deployment of 1 zone with <count> instances and 1 fencing engine
     When one instance is killed
     Then all others see it as GONE within <limit> s
@@ -12,7 +12,7 @@
       | 7     | 10    |
       | 20    | 14    |
 
-  Scenario Outline: A paused instance is doubted, never proven gone, and comes back
+  Scenario Outline: A paused instance is presumed dead, not proven gone, and returns
     Given a deployment of 1 zone with <count> instances and 1 fencing engine
     When one instance is paused
     Then all others see it as DEAD within <limit> s
@@ -24,19 +24,19 @@
       | 3     | 10    |
       | 7     | 12    |
 
-  Scenario: A leaving instance is passed over within two seconds
+  Scenario: A draining instance is known as LEAVING within two seconds
     Given a deployment of 1 zone with 7 instances and 1 fencing engine
-    When one instance is told to leave
+    When one instance begins to drain
     Then all others see it as LEAVING within 2 s
 
-  Scenario: A restarted process proves that the one before it is gone
+  Scenario: A restarted process proves that the earlier one is gone
     Given a deployment of 1 zone with 3 instances and 1 fencing engine
     When one instance is killed and started again at once
     Then all others know the earlier process as gone within 5 s
 
   Scenario Outline: The cost of heartbeats does not grow with the instances
     Given a deployment of 1 zone with <count> instances and 0 fencing engines
-    When 20 s pass at rest
+    When 20 s pass without calls
     Then no instance sent more than <bytes> bytes a second
     And no instance made more than <reads> store reads a second
 
@@ -46,9 +46,9 @@
       | 16    | 160   | 1.1   |
       | 48    | 200   | 1.1   |
 
-  Scenario Outline: The store is read by two instances a zone, however many there are
+  Scenario Outline: Two instances per zone read the store, however many there are
     Given a deployment of 2 zones with <count> instances and 1 fencing engine
-    When 20 s pass at rest
+    When 20 s pass without calls
     Then the store took at most 4.2 reads a second in all and no write
 
     Examples:
@@ -57,11 +57,11 @@
       | 6     |
       | 20    |
 
-  Scenario Outline: Instances that start at once in a bad network find each other
+  Scenario Outline: Instances that start together on an unreliable network join up
     Given a network with <lost> lost, 0.1 doubled and 0.2 s of jitter
     When <count> instances start within a second
     Then all instances know each other within 40 s
-    When the network is good again
+    When the network is reliable again
     Then all instances see each other alive within 30 s
 
     Examples:
@@ -70,7 +70,7 @@
       | 12    | 0.3  |
       | 30    | 0.1  |
 
-  Scenario: An instance that missed the news of another asks for all
+  Scenario: An instance that missed updates of another requests all members
     Given a deployment of 1 zone with 6 instances and 1 fencing engine
-    When one instance forgets another
+    When one instance loses its record of another
     Then all instances see each other alive within 30 s
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the membership and its costs."""
+"""Steps for the membership and the costs of its heartbeats."""
 
 from behave import then, when
 
@@ -19,25 +19,25 @@
 
 @when("one instance is killed")
 def step_kill(context):
-    """End one instance without a word."""
+    """Kill one instance without an announcement."""
     context.deployment.hub.kill(_pick(context))
 
 
 @when("one instance is paused")
 def step_pause(context):
-    """Stop one instance's time."""
+    """Pause one instance, so that it runs nothing and answers nothing."""
     context.deployment.hub.pause(_pick(context))
 
 
-@when("one instance is told to leave")
+@when("one instance begins to drain")
 def step_leave(context):
-    """Tell one instance to leave."""
+    """Start draining one instance."""
     context.deployment.get(_pick(context), Leaving).leave()
 
 
 @when("one instance is killed and started again at once")
 def step_replace(context):
-    """Replace a process by another of the same name and address."""
+    """Replace a process by another with the same name and address."""
     hub, name = context.deployment.hub, _pick(context)
     context.earlier = context.deployment.get(name, Members).process
     hub.kill(name)
@@ -47,7 +47,7 @@
 
 @then("all others see it as {state} within {limit:g} s")
 def step_see(context, state, limit):
-    """Check how the others see the victim."""
+    """Check the state of the affected instance at the others."""
     deployment = context.deployment
     deployment.hub.advance_until(
         lambda: all(
@@ -71,11 +71,11 @@
     )
 
 
-@when("{seconds:g} s pass at rest")
+@when("{seconds:g} s pass without calls")
 def step_rest(context, seconds):
-    """Move the clock with no call, and note the costs."""
+    """Advance the clock with no call, and record the costs."""
     deployment = context.deployment
-    # The news of the start have been told by then.
+    # By then the updates of the start have been propagated.
     deployment.hub.advance(100.0)
     before = _read_costs(deployment)
     deployment.hub.advance(seconds)
@@ -98,15 +98,15 @@
 @then("no instance sent more than {most:g} bytes a second")
 def step_bytes(context, most):
     """Check the bytes between instances."""
-    worst = max(cost[0] for cost in context.costs.values()) / context.seconds
-    assert 10 < worst <= most, worst
+    highest = max(cost[0] for cost in context.costs.values()) / context.seconds
+    assert 10 < highest <= most, highest
 
 
 @then("no instance made more than {most:g} store reads a second")
 def step_reads(context, most):
     """Check the reads of the busiest instance."""
-    worst = max(cost[1] for cost in context.costs.values()) / context.seconds
-    assert worst <= most, worst
+    highest = max(cost[1] for cost in context.costs.values()) / context.seconds
+    assert highest <= most, highest
 
 
 @then("the store took at most {most:g} reads a second in all and no write")
@@ -120,7 +120,7 @@
 
 @when("{count:d} instances start within a second")
 def step_start_many(context, count):
-    """Start instances that know only those before them as seeds."""
+    """Start instances with only those started before them as seeds."""
     context.deployment = Deployment(5, context.delivery)
     hub = context.deployment.hub
     for index in range(count):
@@ -128,18 +128,18 @@
         hub.advance(1.0 / count)
 
 
-@when("one instance forgets another")
+@when("one instance loses its record of another")
 def step_forget(context):
-    """Take a member out of one instance's knowledge, as if never told."""
+    """Remove a member at one instance, as if its updates were lost."""
     names = sorted(context.deployment.hub.kernels)
     detector = context.deployment.get(names[0], Members).detector
     del detector._members[names[-1]]
-    detector._print = None
+    detector._fingerprint = None
 
 
 @then("all instances know each other within {limit:g} s")
 def step_known(context, limit):
-    """Check that nobody is unknown to anybody, alive or suspected."""
+    """Check that each instance knows each other one, in any state."""
     deployment = context.deployment
     names = list(deployment.hub.kernels)
     deployment.hub.advance_until(
@@ -148,7 +148,7 @@
     )
 
 
-@when("the network is good again")
+@when("the network is reliable again")
 def step_good(context):
-    """Let every message arrive."""
+    """Deliver every message."""
     context.deployment.hub.delivery = Delivery()
