--- a/roadlift/draining/__init__.py
+++ b/roadlift/draining/__init__.py
@@ -1,6 +1,6 @@
-"""Leave without cutting off a request.
+"""Shut down without cutting off running requests.
 
-Public surface: ``Drain`` and ``Phase``.
+Public API: ``Drain`` and ``Phase``.
 """
 
 from roadlift.draining.drain import Drain, Phase
--- a/roadlift/endpoints/__init__.py
+++ b/roadlift/endpoints/__init__.py
@@ -1,3 +1,3 @@
-"""Speak to endpoints: engines by a plug-in, and plain services."""
+"""Communicate with endpoints: engines by a plug-in, and plain services."""
 
-from roadlift.endpoints import openai  # noqa: F401  It registers itself.
+from roadlift.endpoints import openai  # noqa: F401  Registers the plug-in.
--- a/roadlift/endpoints/api.py
+++ b/roadlift/endpoints/api.py
@@ -1,7 +1,7 @@
-"""Define what a plug-in has to know to speak to an engine.
+"""Define the interface of engine plug-ins.
 
-A plug-in builds requests and reads answers; it opens no connection, so that
-the users' own engines need nothing more than one more of these.
+A plug-in builds requests and parses answers but opens no connection, so that
+another kind of engine is supported by adding just a plug-in.
 """
 
 from typing import NamedTuple, Protocol
@@ -15,7 +15,7 @@
 
 
 class EngineLoad(NamedTuple):
-    """What an engine reports of itself, with a lag.
+    """The load that an engine reports, with a lag.
 
     ``incarnation`` differs after each start of the engine.
     """
@@ -26,19 +26,19 @@
 
 
 class EngineApi(Protocol):
-    """How one kind of engine is spoken to."""
+    """The protocol of one kind of engine."""
 
     def build_order(self, order: Order, path: str) -> Request:
         """Return the request for a load or unload order."""
 
     def judge_order(self, order: Order, answer: Answer) -> OrderResult:
-        """Tell how an order ended by its answer."""
+        """Return the result of an order from its answer."""
 
     def build_fence(self, fence: int) -> Request:
-        """Return a harmless order that raises the fencing number."""
+        """Return a no-op order that raises the fencing number."""
 
     def read_fence(self, answer: Answer) -> int:
-        """Return the fencing number named by a refusal, or 0."""
+        """Return the fencing number in a refusal, or 0."""
 
     def build_list(self) -> Request:
         """Return the request that lists the loaded copies."""
@@ -50,7 +50,7 @@
         """Return the request for the load report."""
 
     def read_load_report(self, answer: Answer) -> EngineLoad:
-        """Return what the load report says."""
+        """Return the load from the load report."""
 
     def build_run(self, path: str, body: dict, copy: str, priority: str) -> Request:
         """Return the request that runs a caller's call on a copy."""
@@ -59,7 +59,8 @@
         """Return what an answer with an error status means for the run."""
 
     def build_resume(self, headers: dict[str, str], last_id: str) -> Request | None:
-        """Return the request that goes on with a cut stream, or None.
+        """Return the request that resumes an interrupted stream, or None.
 
-        ``headers`` are those of the stream's first answer.
+        ``headers`` are those of the stream's first answer, ``last_id`` is the
+        id of the last event received.
         """
--- a/roadlift/endpoints/events.py
+++ b/roadlift/endpoints/events.py
@@ -1,18 +1,18 @@
-"""Frame the events of a stream, without reading the tokens in them.
+"""Split a stream into server-sent events, without parsing their content.
 
-Only whole events are passed to the caller, so that a cut stream can go on
-behind the last one. Framing looks for the blank line behind an event; an
-event's text is not parsed.
+Only complete events are forwarded to the caller, so that an interrupted
+stream can be resumed after the last of them. An event ends at a blank line;
+its text is not parsed.
 """
 
 _EVENT_END = b"\n\n"
 _DONE = b"data: [DONE]\n\n"
 _ID = b"id:"
-MOST_HELD = 1048576  # Bytes of one event; a longer one is passed in pieces.
+MOST_HELD = 1048576  # Bytes of one event; a longer one is forwarded in pieces.
 
 
 class EventFrames:
-    """The framing of one stream of server-sent events."""
+    """Framing state of one stream of server-sent events."""
 
     def __init__(self) -> None:
         self._held = b""
@@ -20,7 +20,7 @@
         self.is_ended = False
 
     def take_whole(self, data: bytes) -> bytes:
-        """Return the bytes up to the end of the last whole event."""
+        """Return the bytes up to the end of the last complete event."""
         if self._held:
             data = self._held + data
             self._held = b""
@@ -32,7 +32,7 @@
         return data
 
     def _hold_rest(self, data: bytes) -> bytes:
-        """Hold back what follows the last whole event; return the rest."""
+        """Buffer what follows the last complete event; return the rest."""
         end = data.rfind(_EVENT_END)
         if end < 0 and len(data) > MOST_HELD:
             return data
@@ -41,7 +41,7 @@
         return data[:end]
 
     def cut(self) -> str:
-        """Drop the part of an event, and return the last whole one's id."""
+        """Discard a partial event; return the id of the last complete one."""
         self._held = b""
         start = self._last.rfind(_ID)
         while start > 0 and self._last[start - 1 : start] != b"\n":
--- a/roadlift/endpoints/openai.py
+++ b/roadlift/endpoints/openai.py
@@ -1,11 +1,11 @@
-"""Speak to an OpenAI-compatible engine that loads adapters while running.
+"""Support OpenAI-compatible engines that load adapters at run time.
 
-The published calls are ``/v1/load_lora_adapter``,
+The public endpoints used are ``/v1/load_lora_adapter``,
 ``/v1/unload_lora_adapter``, ``/v1/models``, ``/metrics`` in the Prometheus
-text format and the completions. Fencing numbers travel in a header, which an
-engine that doesn't know them ignores; an engine that can go on with a stream
-names the path for it in a header, and is asked with the ``Last-Event-ID``
-that server-sent events define.
+text format and the completions. Fencing numbers are sent in a header, which
+an engine that does not support them ignores. An engine that can resume a
+stream gives the path for it in a header; the request to resume carries the
+``Last-Event-ID`` that server-sent events define.
 """
 
 import json
@@ -34,7 +34,7 @@
 
 @engine_apis.register("openai")
 class OpenAiEngine:
-    """The published way of OpenAI-compatible engines with adapters."""
+    """The public protocol of OpenAI-compatible engines with adapters."""
 
     def build_order(self, order: Order, path: str) -> Request:
         """Return the request for a load or unload order."""
@@ -48,7 +48,7 @@
         return Request("POST", target, headers, json.dumps(body).encode())
 
     def judge_order(self, order: Order, answer: Answer) -> OrderResult:
-        """Tell how an order ended by its answer."""
+        """Return the result of an order from its answer."""
         if answer.status == 200:
             return OrderResult.DONE
         if answer.status == 409:
@@ -58,13 +58,13 @@
         return OrderResult.REFUSED if order.verb == LOAD else OrderResult.UNKNOWN
 
     def build_fence(self, fence: int) -> Request:
-        """Return an order to unload nothing, which raises the number."""
+        """Return an order to unload nothing that raises the fencing number."""
         headers = {**_JSON, FENCE_HEADER: str(fence)}
         body = json.dumps({"lora_name": ""}).encode()
         return Request("POST", "/v1/unload_lora_adapter", headers, body)
 
     def read_fence(self, answer: Answer) -> int:
-        """Return the fencing number named by a refusal, or 0."""
+        """Return the fencing number in a refusal, or 0."""
         text = answer.headers.get(FENCE_HEADER.lower(), "0")
         return int(text) if text.isdecimal() else 0
 
@@ -82,7 +82,7 @@
         return Request("GET", "/metrics")
 
     def read_load_report(self, answer: Answer) -> EngineLoad:
-        """Read the gauges of the Prometheus text format."""
+        """Parse the gauges from the Prometheus text format."""
         found = {"incarnation": "", "running": 0.0, "waiting": 0.0}
         for line in answer.body.decode("utf-8", "replace").splitlines():
             name, _, value = line.partition(" ")
@@ -103,7 +103,8 @@
     def judge_refusal(self, status: int, body: bytes) -> RoadliftError:
         """Return what an answer with an error status means for the run.
 
-        An unknown name and a full queue are refusals before the run.
+        An unknown model name (404) and a full queue (429) are refusals before
+        the run.
         """
         detail = f"status {status}: {body[:200].decode('utf-8', 'replace')}"
         if status in (404, 429):
@@ -113,7 +114,7 @@
         return EndpointFailed(detail)
 
     def build_resume(self, headers: dict[str, str], last_id: str) -> Request | None:
-        """Return the request that goes on after the event ``last_id``."""
+        """Return the request to resume the stream after event ``last_id``."""
         path = headers.get(RESUME_HEADER)
         if not path or not last_id:
             return None
@@ -122,5 +123,5 @@
 
 def _read_json(answer: Answer) -> dict:
     if answer.status != 200:
-        raise PlatformUnavailable(f"engine answered {answer.status}")
+        raise PlatformUnavailable(f"engine answered with status {answer.status}")
     return json.loads(answer.body)
