--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -98,7 +98,7 @@
     table = PinTable()
     for index in range(count):
         model = f"adapter-{index:06d}@1"
-        nonce = table.ask(f"runner-{index:05d}", model, 99.0)
+        nonce = table.open_request(f"runner-{index:05d}", model, 99.0)
         copy = f"{model}~1a2b3c.{index:x}"
         grant = Grant(f"runner-{index:05d}", nonce, copy, 5, 1, 8)
         table.accept(grant, 0.0)
--- a/benchmarks/capacity/processor.py
+++ b/benchmarks/capacity/processor.py
@@ -143,7 +143,7 @@
         def live(book=book, table=table, models=models) -> None:
             """Ask for a pin, use it and give it back."""
             model = models[0]
-            nonce = table.ask("e", model, 99.0)
+            nonce = table.open_request("e", model, 99.0)
             ask = _send(Acquire("e", nonce, model, "interactive", 9.0, True))
             (out,) = book.acquire("entry-1#1", ask, 1.0)
             pin = table.accept(_send(out.message), 1.0)
--- a/benchmarks/policies/world.py
+++ b/benchmarks/policies/world.py
@@ -10,7 +10,7 @@
 from roadlift.ownership.book import Book, Outgoing, Shape, Terms
 from roadlift.ownership.messages import Acquire, Level, Reason, Refuse, Release, Report
 from roadlift.ownership.orders import LOAD, Order, OrderResult
-from roadlift.pins.seeker import Seeker, Waiter
+from roadlift.pins.requester import PinRequester, Waiter
 from roadlift.pins.table import HeldPin, PinTable
 from roadlift.policy.admission import DEFAULT_LIMITS, EndpointLimits
 from roadlift.policy.eviction import evictors
@@ -140,9 +140,11 @@
         self._world = world
         self._events = world.events
         self._table = PinTable()
-        self._seeker = Seeker(self, self._table)
+        self._requester = PinRequester(self, self._table)
         widths = dict.fromkeys(world.names, world.deployment.width)
-        self._seeker.route_by(routers.get(world.policy.router)(world.names), widths)
+        self._requester.set_router(
+            routers.get(world.policy.router)(world.names), widths
+        )
         self._books: dict[str, Book] = {}
         self._incarnations: dict[str, int] = {}
         self._used: set[str] = set()
@@ -167,8 +169,8 @@
 
     def start(self, end: float) -> None:
         """Begin the periodic work, up to ``end``."""
-        self._repeat(SEEKER_TICK, end, self._seeker.tick)
-        self._repeat(REPORT_PERIOD, end, self._seeker.report)
+        self._repeat(SEEKER_TICK, end, self._requester.tick)
+        self._repeat(REPORT_PERIOD, end, self._requester.report)
         self._repeat(OWNER_TICK, end, self._tick)
 
     def take(self, arrival: Arrival) -> None:
@@ -180,7 +182,7 @@
             lambda pin: self._begin(arrival, pin),
             lambda error: self._refuse(arrival, error),
         )
-        self._seeker.place(arrival.model, waiter)
+        self._requester.place(arrival.model, waiter)
 
     def restart(self, endpoint: str) -> None:
         """Restart an engine: its copies are gone, its runs are repeated."""
@@ -208,7 +210,7 @@
         """Return the instance that owns an endpoint."""
         return self._world.owners[endpoint].name
 
-    def is_resting(self, endpoint: str) -> bool:
+    def is_backing_off(self, endpoint: str) -> bool:
         """Tell that no endpoint asks for rest."""
         return False
 
@@ -239,7 +241,7 @@
                 level = Level(message.endpoint, book.count_running())
                 self.send(sender, level)
         else:
-            self._seeker.receive(sender, message)
+            self._requester.receive(sender, message)
 
     def _receive_acquire(self, sender: str, ask: Acquire) -> None:
         book = self._books.get(ask.endpoint)
@@ -268,7 +270,7 @@
             arrival.priority,
             arrival.tokens,
             lambda: self._note(arrival, now - arrival.at),
-            lambda: self._seeker.end(pin),
+            lambda: self._requester.end(pin),
         )
 
     def _note(self, arrival: Arrival, stall: float) -> None:
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -37,7 +37,7 @@
     compute_fingerprint,
     compute_key,
 )
-from roadlift.pins.seeker import Waiter
+from roadlift.pins.requester import Waiter
 from roadlift.pins.table import HeldPin
 from roadlift.relay.caller import Caller
 from roadlift.relay.upstream import Address, Line, Request
--- a/roadlift/daemon/pins.py
+++ b/roadlift/daemon/pins.py
@@ -9,7 +9,7 @@
 from roadlift.daemon.rests import Rests
 from roadlift.daemon.transport import Transport
 from roadlift.ownership.election import choose_owner
-from roadlift.pins.seeker import Seeker, Waiter
+from roadlift.pins.requester import PinRequester, Waiter
 from roadlift.pins.table import HeldPin, PinTable
 from roadlift.policy.routing import BaseRouter, Router, routers
 
@@ -29,7 +29,7 @@
         self._bundles = kernel.get(Bundles)
         self._rests = kernel.get(Rests)
         self.table = PinTable(kernel.settings.pin_keep)
-        self._seeker = Seeker(self, self.table)
+        self._requester = PinRequester(self, self.table)
         self._owners: dict[str, str | None] = {}
         self._routed_for: tuple = ()
         self._timers = []
@@ -37,11 +37,13 @@
     def start(self) -> None:
         """Begin to hear owners and to look after the askings."""
         transport = self._kernel.get(Transport)
-        transport.subscribe(self._seeker.kinds, self._seeker.receive)
+        transport.subscribe(self._requester.message_types, self._requester.receive)
         loop = self._kernel.loop
         self._timers = [
-            loop.call_every(TICK, self._seeker.tick),
-            loop.call_every(self._kernel.settings.report_period, self._seeker.report),
+            loop.call_every(TICK, self._requester.tick),
+            loop.call_every(
+                self._kernel.settings.report_period, self._requester.report
+            ),
         ]
         self._members.listen(self._owners.clear)
 
@@ -49,16 +51,16 @@
         """Refuse who still waits."""
         for timer in self._timers:
             timer.close()
-        self._seeker.close()
+        self._requester.close()
 
     def place(self, model: str, waiter: Waiter) -> None:
         """Find a pin for a request, now or later."""
         self._refresh_router()
-        self._seeker.place(model, waiter)
+        self._requester.place(model, waiter)
 
     def end(self, pin: HeldPin) -> None:
         """Count a request under a pin as over."""
-        self._seeker.end(pin)
+        self._requester.end(pin)
 
     def drop(self, pin: HeldPin) -> None:
         """Use a pin no more; its copy is gone."""
@@ -85,7 +87,7 @@
         """Send a message to a process."""
         return self._members.send(process, message)
 
-    def is_resting(self, endpoint: str) -> bool:
+    def is_backing_off(self, endpoint: str) -> bool:
         """Tell whether an endpoint wants no calls from this process now."""
         return self._rests.measure(endpoint) > 0.0
 
@@ -109,7 +111,7 @@
             return
         self._routed_for = key
         self._owners.clear()
-        self._seeker.route_by(*self._make_router(*key))
+        self._requester.set_router(*self._make_router(*key))
 
     def _make_router(
         self, directory: Directory, zones: frozenset[str]
--- a/roadlift/pins/seeker.py
+++ b/roadlift/pins/requester.py
@@ -27,9 +27,9 @@
 from roadlift.policy.loads import RANKS
 from roadlift.policy.routing import Router
 
-RETRY_PAUSE = 0.05  # Seconds before the first retry; doubled each time.
-MOST_PAUSE = 1.0
-ASK_AGAIN = 1.0  # Seconds until an unanswered pin request is sent again.
+MIN_RETRY_BACKOFF = 0.05  # Seconds before the first retry; doubled each time.
+MAX_RETRY_BACKOFF = 1.0
+RESEND_INTERVAL = 1.0  # Seconds until an unanswered pin request is sent again.
 
 OnPin = Callable[[HeldPin], None]
 OnError = Callable[[RoadliftError], None]
@@ -59,7 +59,7 @@
     def send(self, process: str, message: object) -> bool:
         """Send a message; return False if it was dropped."""
 
-    def is_resting(self, endpoint: str) -> bool:
+    def is_backing_off(self, endpoint: str) -> bool:
         """Return whether an endpoint has requested a back-off."""
 
 
@@ -74,7 +74,7 @@
         self.endpoint = ""
         self.owner: str | None = None
         self.sent_at = 0.0
-        self.backoff = RETRY_PAUSE
+        self.backoff = MIN_RETRY_BACKOFF
         self.all_were_full = True
 
     def pick_priority(self) -> str:
@@ -86,7 +86,7 @@
         return max(w.deadline for w in self.waiters)
 
 
-class Seeker:
+class PinRequester:
     """Obtain pins for the requests of one process."""
 
     def __init__(self, host: Host, table: PinTable) -> None:
@@ -105,11 +105,11 @@
         }
 
     @property
-    def kinds(self) -> tuple[type, ...]:
+    def message_types(self) -> tuple[type, ...]:
         """Return the message types that ``receive`` handles."""
         return tuple(self._handlers)
 
-    def route_by(self, router: Router, widths: dict[str, int]) -> None:
+    def set_router(self, router: Router, widths: dict[str, int]) -> None:
         """Set the router of a bundle's endpoints and their batch sizes."""
         self._router = router
         self._widths = widths
@@ -179,7 +179,7 @@
         process has started and ended since. An endpoint that has requested a
         back-off counts as infinitely full.
         """
-        if self._host.is_resting(endpoint):
+        if self._host.is_backing_off(endpoint):
             return math.inf
         local_running = self.table.count_running(endpoint)
         running, local_at_report = self._levels.get(endpoint, (0, 0))
@@ -209,7 +209,9 @@
 
     def _start_search(self, search: _Search, candidates: Iterable[str]) -> None:
         search.candidates = [
-            endpoint for endpoint in candidates if not self._host.is_resting(endpoint)
+            endpoint
+            for endpoint in candidates
+            if not self._host.is_backing_off(endpoint)
         ]
         search.all_were_full = bool(search.candidates)
         self._request_next(search)
@@ -226,7 +228,7 @@
             self._request_next(search)
             return
         deadline = search.pick_deadline()
-        search.nonce = self.table.ask(search.endpoint, search.model, deadline)
+        search.nonce = self.table.open_request(search.endpoint, search.model, deadline)
         if not self._send_acquire(search):
             self.table.cancel(search.nonce)
             search.all_were_full = False
@@ -253,7 +255,7 @@
             self._fail(search, Overloaded("every endpoint is full", 1.0))
             return
         self._host.call_later(search.backoff, lambda: self._retry(search))
-        search.backoff = min(MOST_PAUSE, 2 * search.backoff)
+        search.backoff = min(MAX_RETRY_BACKOFF, 2 * search.backoff)
 
     def _retry(self, search: _Search) -> None:
         if self._searches.get(search.model) is not search or not search.waiters:
@@ -291,7 +293,7 @@
             self.table.cancel(search.nonce)
             search.all_were_full = False
             self._request_next(search)
-        elif now - search.sent_at >= ASK_AGAIN:
+        elif now - search.sent_at >= RESEND_INTERVAL:
             self._send_acquire(search)
 
     # Messages.
--- a/roadlift/pins/table.py
+++ b/roadlift/pins/table.py
@@ -16,7 +16,7 @@
 
 from roadlift.ownership.messages import Census, Count, Grant, Release, Report
 
-WORTH_KEEPING = 2  # Requests that a pin must have served to be kept idle.
+MIN_USES_TO_KEEP = 2  # Requests that a pin must have served to be kept idle.
 
 
 class HeldPin:
@@ -53,13 +53,15 @@
 class PinTable:
     """The pins and open pin requests of one process.
 
-    An idle pin is kept for ``keep`` seconds if at least ``worth_keeping``
+    An idle pin is kept for ``keep`` seconds if at least ``min_uses_to_keep``
     requests ran under it.
     """
 
-    def __init__(self, keep: float = 5.0, worth_keeping: int = WORTH_KEEPING) -> None:
+    def __init__(
+        self, keep: float = 5.0, min_uses_to_keep: int = MIN_USES_TO_KEEP
+    ) -> None:
         self._keep = keep
-        self._worth_keeping = worth_keeping
+        self._min_uses_to_keep = min_uses_to_keep
         self._pins: dict[tuple[str, str], HeldPin] = {}
         self._models: dict[str, list[HeldPin]] = {}
         self._requests: dict[int, _PinRequest] = {}
@@ -68,7 +70,7 @@
         self._nonce = 0
         self._serial = 0
 
-    def ask(self, endpoint: str, model: str, deadline: float) -> int:
+    def open_request(self, endpoint: str, model: str, deadline: float) -> int:
         """Open a pin request and return its nonce."""
         self._nonce += 1
         self._requests[self._nonce] = _PinRequest(endpoint, model, deadline)
@@ -117,9 +119,9 @@
         """
         pin.running -= 1
         pin.idle_since = now
-        is_spent = pin.recalled or pin.started_count < self._worth_keeping
+        is_spent = pin.recalled or pin.started_count < self._min_uses_to_keep
         if is_spent and not pin.running:
-            return self._give_back(pin)
+            return self._release_pin(pin)
         return None
 
     def recall(self, endpoint: str, copy: str) -> Release | None:
@@ -128,7 +130,7 @@
         if pin is None:
             return None
         pin.recalled = True
-        return None if pin.running else self._give_back(pin)
+        return None if pin.running else self._release_pin(pin)
 
     def drop(self, pin: HeldPin) -> None:
         """Stop using a pin, as the endpoint refused the name of its copy."""
@@ -141,7 +143,7 @@
             for pin in self._pins.values()
             if not pin.running and now - pin.idle_since >= self._keep
         ]
-        return [self._give_back(pin) for pin in idle]
+        return [self._release_pin(pin) for pin in idle]
 
     def count(self, census: Census, yielded: list[int]) -> Count | None:
         """Answer a census; reject grants of earlier epochs from then on."""
@@ -194,7 +196,7 @@
             if pin.endpoint == endpoint
         ]
 
-    def _give_back(self, pin: HeldPin) -> Release:
+    def _release_pin(self, pin: HeldPin) -> Release:
         del self._pins[(pin.endpoint, pin.copy)]
         pins = self._models[pin.model]
         pins.remove(pin)
--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -84,7 +84,9 @@
         Book.may_evict = lambda self, copy: copy.state.value != "loading"
     elif name == "return_idle":
         PinTable.recall = lambda self, endpoint, copy: (
-            self._give_back(pin) if (pin := self._pins.get((endpoint, copy))) else None
+            self._release_pin(pin)
+            if (pin := self._pins.get((endpoint, copy)))
+            else None
         )
     elif name == "claim_first":
         Claims.claim = lambda self, key, fingerprint, on_claim, *_: on_claim(None)
--- a/tests/steps/policy_steps.py
+++ b/tests/steps/policy_steps.py
@@ -369,7 +369,7 @@
 def step_run_under(context, requests):
     """Begin each request before the one before it ends."""
     table = PinTable()
-    nonce = table.ask("e", "m@1", 99.0)
+    nonce = table.open_request("e", "m@1", 99.0)
     pin = table.accept(Grant("e", nonce, "m@1~1.1", 1, 1, 8), 1.0)
     table.begin(pin)
     for _ in range(requests - 1):
--- a/tests/steps/specification_steps.py
+++ b/tests/steps/specification_steps.py
@@ -30,7 +30,7 @@
 
 def _give_back_any(table, endpoint, copy):
     pin = table._pins.get((endpoint, copy))
-    return table._give_back(pin) if pin else None
+    return table._release_pin(pin) if pin else None
 
 
 def _adopt_listed(book, names, asked_at, now):
--- a/tests/support/replay.py
+++ b/tests/support/replay.py
@@ -97,7 +97,7 @@
     # One method a label.
 
     def _do_ask(self, label, before) -> None:
-        self.tables[label[1]].ask(ENDPOINT, "x@1", FOREVER)
+        self.tables[label[1]].open_request(ENDPOINT, "x@1", FOREVER)
 
     def _do_cancel(self, label, before) -> None:
         holder = before.holders[HOLDERS.index(label[1])]
@@ -263,7 +263,7 @@
 
     In the specification that is a step of its own.
     """
-    return PinTable(worth_keeping=0)
+    return PinTable(min_uses_to_keep=0)
 
 
 def replay_walks(fences: bool, limits: Limits, walks: int, seed: int) -> dict:
