--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -272,7 +272,7 @@
         if self._claim is not None:
             status, headers = self._kept_head
             answer = StoredAnswer(status, headers, bytes(self._kept))
-            self._calls.claims.settle(self._claim, answer)
+            self._calls.claims.store_answer(self._claim, answer)
         self._caller.finish()
         self._end()
 
--- a/roadlift/idempotency/claims.py
+++ b/roadlift/idempotency/claims.py
@@ -31,9 +31,9 @@
 CLAIMED = "claimed"
 DONE = "done"
 RELEASED = "released"
-INLINE_LIMIT = 16384  # Largest answer stored in the row itself, in bytes.
-RETRY_SECONDS = 1.0  # Between attempts while the store is unavailable.
-MOST_RETRIES = 600
+MAX_INLINE_BYTES = 16384  # Largest answer stored in the row itself, in bytes.
+RETRY_INTERVAL = 1.0  # Seconds between attempts while the store is unavailable.
+MAX_RETRIES = 600
 
 
 class StoredAnswer(NamedTuple):
@@ -124,12 +124,12 @@
         handlers = _Handlers(on_claim, on_answer, on_error)
         self._insert(key, record, ABSENT, handlers)
 
-    def settle(self, claim: Claim, answer: StoredAnswer) -> None:
+    def store_answer(self, claim: Claim, answer: StoredAnswer) -> None:
         """Store the answer for repeats of the request."""
         record = _Record(
             DONE, claim.claimant, claim.fingerprint, answer.status, answer.headers
         )
-        if len(answer.body) <= INLINE_LIMIT:
+        if len(answer.body) <= MAX_INLINE_BYTES:
             body = base64.b64encode(answer.body).decode()
             self._write_outcome(claim, record._replace(body=body), 0)
             return
@@ -141,7 +141,9 @@
 
         def fail(error: RoadliftError) -> None:
             """Retry the write of the object later."""
-            self._loop.call_later(RETRY_SECONDS, lambda: self.settle(claim, answer))
+            self._loop.call_later(
+                RETRY_INTERVAL, lambda: self.store_answer(claim, answer)
+            )
 
         self._store.write_object(digest, answer.body, write_reference, fail)
 
@@ -177,9 +179,9 @@
             # The claim may have been written; nothing will be sent under it.
             """Report the store as unavailable and release a possible claim."""
             self._loop.call_later(
-                RETRY_SECONDS, lambda: self._release_unconfirmed(key, record, 0)
+                RETRY_INTERVAL, lambda: self._release_unconfirmed(key, record, 0)
             )
-            handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_SECONDS))
+            handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_INTERVAL))
 
         self._store.read_row(key, receive, fail)
 
@@ -194,7 +196,7 @@
         if row.version == ABSENT:
             # The write has not taken effect yet, but a delayed one still may.
             self._release_unconfirmed(key, record, 0)
-            handlers.on_error(IdempotencyUnavailable(cause.detail, RETRY_SECONDS))
+            handlers.on_error(IdempotencyUnavailable(cause.detail, RETRY_INTERVAL))
             return
         found = _Record.decode(row.value)
         if found.claimant == record.claimant and found.state == CLAIMED:
@@ -205,11 +207,11 @@
         elif found.state == RELEASED and isinstance(cause, VersionConflict):
             self._insert(key, record, row.version, handlers)
         elif found.state == RELEASED:
-            handlers.on_error(IdempotencyUnavailable(cause.detail, RETRY_SECONDS))
+            handlers.on_error(IdempotencyUnavailable(cause.detail, RETRY_INTERVAL))
         elif found.state == DONE:
             self._load_answer(found, handlers)
         else:
-            handlers.on_error(IdempotencyInProgress(key[-12:], RETRY_SECONDS))
+            handlers.on_error(IdempotencyInProgress(key[-12:], RETRY_INTERVAL))
 
     def _load_answer(self, found: _Record, handlers: _Handlers) -> None:
         def deliver(body: bytes) -> None:
@@ -218,7 +220,7 @@
 
         def fail(error: RoadliftError) -> None:
             """Report that the answer can't be read now."""
-            handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_SECONDS))
+            handlers.on_error(IdempotencyUnavailable(error.detail, RETRY_INTERVAL))
 
         if not found.object:
             deliver(base64.b64decode(found.body))
@@ -244,9 +246,9 @@
 
         def fail(_: RoadliftError) -> None:
             """Retry later."""
-            if attempts < MOST_RETRIES:
+            if attempts < MAX_RETRIES:
                 self._loop.call_later(
-                    RETRY_SECONDS,
+                    RETRY_INTERVAL,
                     lambda: self._release_unconfirmed(key, record, attempts + 1),
                 )
 
@@ -261,10 +263,10 @@
 
         def fail(error: RoadliftError) -> None:
             """Repeat the write, unless it took effect."""
-            if isinstance(error, VersionConflict) or attempts >= MOST_RETRIES:
+            if isinstance(error, VersionConflict) or attempts >= MAX_RETRIES:
                 return
             self._loop.call_later(
-                RETRY_SECONDS, lambda: self._write_outcome(claim, record, attempts + 1)
+                RETRY_INTERVAL, lambda: self._write_outcome(claim, record, attempts + 1)
             )
 
         self._store.write_row(claim.key, record.encode(), claim.version, _ignore, fail)
--- a/tests/steps/idempotency_steps.py
+++ b/tests/steps/idempotency_steps.py
@@ -94,16 +94,16 @@
             script.append("lost")
             context.claims.release(claim)
         case "answered":
-            context.claims.settle(claim, context.answer)
+            context.claims.store_answer(claim, context.answer)
         case "answered with a long body":
             context.answer = context.answer._replace(body=b"x" * 100_000)
-            context.claims.settle(claim, context.answer)
+            context.claims.store_answer(claim, context.answer)
         case "answered with a lost reply":
             script.append("lost")
-            context.claims.settle(claim, context.answer)
+            context.claims.store_answer(claim, context.answer)
         case "answered while the store was down":
             script.extend(["down"] * 3)
-            context.claims.settle(claim, context.answer)
+            context.claims.store_answer(claim, context.answer)
         case _:
             raise AssertionError(f"unknown state of a claim: {state!r}")
     _advance(context, 5)
