--- a/benchmarks/capacity/processor.py
+++ b/benchmarks/capacity/processor.py
@@ -69,7 +69,7 @@
     points = []
     for peers in (30, 90, 180, 360):
         detector = make_detector(peers)
-        detector._news.clear()
+        detector._updates.clear()
         sender = detector.list_members()[0].process
         ping = Ping(1, [], 5, 0)
 
--- a/roadlift/daemon/members.py
+++ b/roadlift/daemon/members.py
@@ -7,7 +7,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
-from roadlift.membership.detector import Detector, Sending, Timing
+from roadlift.membership.detector import Detector, OutgoingMessage, Timing
 from roadlift.membership.members import Member, State
 from roadlift.membership.messages import Ack, Join, Ping, Probe, Roster
 from roadlift.relay.upstream import Address, Answer, Request, fetch
@@ -79,12 +79,12 @@
 
     def leave(self) -> None:
         """Tell the peers that this process takes no new work."""
-        self._send(self.detector.leave())
+        self._send(self.detector.announce_leaving())
         self._notify()
 
     def go(self) -> None:
         """Tell the peers that this process is gone."""
-        self._send(self.detector.go())
+        self._send(self.detector.announce_gone())
 
     def list_zone(self, zone: str) -> list[str]:
         """Return the instances of a zone that may take work."""
@@ -140,7 +140,7 @@
         for listener in self._listeners:
             listener()
 
-    def _send(self, sendings: list[Sending]) -> None:
+    def _send(self, sendings: list[OutgoingMessage]) -> None:
         for sending in sendings:
             self._transport.send(sending.to, sending.message)
 
@@ -169,7 +169,7 @@
             refused = isinstance(error, EndpointUnreachable)
             if refused and error.detail == "ECONNREFUSED":
                 log.warning("Process %s is gone: its port refuses.", member.process)
-                self.detector.prove_gone(member.process)
+                self.detector.confirm_gone(member.process)
                 self._notify()
 
         def answer(_: Answer) -> None:
--- a/roadlift/membership/detector.py
+++ b/roadlift/membership/detector.py
@@ -18,28 +18,28 @@
 from roadlift.membership.members import Member, State
 from roadlift.membership.messages import Ack, Join, Ping, Probe, Roster
 
-NEWS_IN_MESSAGE = 6  # Updates of members sent with one ping or ack.
-MOST_DIFFERENCES = 6  # Differing fingerprints until a roster is requested.
+MAX_UPDATES_PER_MESSAGE = 6  # Updates of members sent with one ping or ack.
+MAX_MISMATCHES = 6  # Differing fingerprints in a row until a join is sent.
 
 
 class Timing(NamedTuple):
     """Intervals and time-outs of the detector, in seconds.
 
-    ``helpers`` is the number of instances that are requested to ping one that
-    does not answer.
+    ``indirect_probes`` is the number of instances that are requested to ping
+    one that does not answer.
     """
 
-    period: float = 1.0
-    answer: float = 0.4
-    suspicion: float = 3.0
-    helpers: int = 3
-    rejoin: float = 10.0
+    probe_interval: float = 1.0
+    ack_timeout: float = 0.4
+    suspicion_timeout: float = 3.0
+    indirect_probes: int = 3
+    rejoin_interval: float = 10.0
 
 
 DEFAULT_TIMING = Timing()
 
 
-class Sending(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to the peer address ``to``."""
 
     to: str
@@ -72,7 +72,7 @@
         self._timing = timing
         self._members: dict[str, Member] = {own.name: own}
         self._gone: set[str] = set()
-        self._news: dict[str, int] = {}
+        self._updates: dict[str, int] = {}
         self._suspected_at: dict[str, float] = {}
         self._pending_probes: dict[int, _PendingProbe] = {}
         self._probe_order: list[str] = []
@@ -139,47 +139,47 @@
 
     # Changes by this process.
 
-    def leave(self) -> list[Sending]:
+    def announce_leaving(self) -> list[OutgoingMessage]:
         """Announce to some peers that this process takes no new work."""
         self._set_local_state(State.LEAVING)
         return self._ping_some()
 
-    def go(self) -> list[Sending]:
+    def announce_gone(self) -> list[OutgoingMessage]:
         """Announce to all peers, as a last message, that this process ends."""
         self._set_local_state(State.GONE)
         return self._ping_some(everyone=True)
 
-    def prove_gone(self, process: str) -> None:
+    def confirm_gone(self, process: str) -> None:
         """Record the proof of a death, such as a refused connection."""
         member = self.find_process(process)
         if member is not None:
             self._apply_update(member._replace(state=State.GONE))
         self._gone.add(process)
 
-    def join(self, addresses: Iterable[str]) -> list[Sending]:
+    def join(self, addresses: Iterable[str]) -> list[OutgoingMessage]:
         """Request all members from the instances at ``addresses``."""
         return [
-            Sending(address, Join(list(self.own)))
+            OutgoingMessage(address, Join(list(self.own)))
             for address in addresses
             if address != self.own.peer
         ]
 
     # Time and messages.
 
-    def tick(self) -> list[Sending]:
+    def tick(self) -> list[OutgoingMessage]:
         """Run the checks that are due; to be called a few times a period."""
         now = self._clock.now()
         out = self._check_pending_probes(now)
         self._expire_suspects(now)
         if now >= self._next_probe_at:
-            self._next_probe_at = now + self._timing.period
+            self._next_probe_at = now + self._timing.probe_interval
             out += self._probe_next(now)
         if now >= self._next_rejoin_at:
-            self._next_rejoin_at = now + self._timing.rejoin
+            self._next_rejoin_at = now + self._timing.rejoin_interval
             out += self._rejoin_dead()
         return out
 
-    def receive(self, sender: str, message: object) -> list[Sending]:
+    def receive(self, sender: str, message: object) -> list[OutgoingMessage]:
         """Handle a message from the process ``sender``; return the replies."""
         match message:
             case Ping(serial, members, head, fingerprint):
@@ -200,7 +200,9 @@
 
     # Helpers.
 
-    def _compare(self, sender: str, head: int, fingerprint: int) -> list[Sending]:
+    def _compare(
+        self, sender: str, head: int, fingerprint: int
+    ) -> list[OutgoingMessage]:
         """Request all members if updates seem to have been missed.
 
         Updates in transit make fingerprints differ for some messages. If they
@@ -215,7 +217,7 @@
         self._agreed_since = None
         self._mismatches += 1
         member = self.find_process(sender) or self._pick_alive()
-        if self._mismatches < MOST_DIFFERENCES or member is None:
+        if self._mismatches < MAX_MISMATCHES or member is None:
             return []
         self._mismatches = 0
         return self.join([member.peer])
@@ -234,36 +236,38 @@
                     self._fingerprint ^= zlib.crc32(member.process.encode())
         return self._fingerprint
 
-    def _answer(self, sender: str, serial: int) -> list[Sending]:
+    def _answer(self, sender: str, serial: int) -> list[OutgoingMessage]:
         member = self.find_process(sender)
         if member is None:
             return []
         ack = Ack(
             serial, self._pick_updates(member), self.head, self._compute_fingerprint()
         )
-        return [Sending(member.peer, ack)]
+        return [OutgoingMessage(member.peer, ack)]
 
-    def _finish_probe(self, serial: int) -> list[Sending]:
+    def _finish_probe(self, serial: int) -> list[OutgoingMessage]:
         probe = self._pending_probes.pop(serial, None)
         if probe is None or probe.requested_by is None:
             return []
         process, requester_serial = probe.requested_by
         return self._answer(process, requester_serial)
 
-    def _ping_on_behalf(self, sender: str, serial: int, target: str) -> list[Sending]:
+    def _ping_on_behalf(
+        self, sender: str, serial: int, target: str
+    ) -> list[OutgoingMessage]:
         member = self._members.get(target)
         if member is None:
             return []
         return [self._ping(member, self._clock.now(), (sender, serial))]
 
-    def _answer_join(self, member: Member) -> list[Sending]:
+    def _answer_join(self, member: Member) -> list[OutgoingMessage]:
         self._apply_update(member)
         members = [list(known) for known in self.list_members()]
-        return [Sending(member.peer, Roster(members))]
+        return [OutgoingMessage(member.peer, Roster(members))]
 
     def _ping(
         self, member: Member, now: float, requested_by: tuple[str, int] | None = None
-    ) -> Sending:
+    ) -> OutgoingMessage:
         self._serial += 1
         is_escalated = requested_by is not None
         self._pending_probes[self._serial] = _PendingProbe(
@@ -271,9 +275,9 @@
         )
         updates = self._pick_updates(member)
         ping = Ping(self._serial, updates, self.head, self._compute_fingerprint())
-        return Sending(member.peer, ping)
+        return OutgoingMessage(member.peer, ping)
 
-    def _probe_next(self, now: float) -> list[Sending]:
+    def _probe_next(self, now: float) -> list[OutgoingMessage]:
         while self._probe_order:
             member = self._members.get(self._probe_order.pop())
             if member is not None and member.state < State.DEAD:
@@ -288,28 +292,30 @@
             return []
         return [self._ping(self._members[self._probe_order.pop()], now)]
 
-    def _check_pending_probes(self, now: float) -> list[Sending]:
-        out: list[Sending] = []
+    def _check_pending_probes(self, now: float) -> list[OutgoingMessage]:
+        out: list[OutgoingMessage] = []
         for serial, probe in list(self._pending_probes.items()):
             age = now - probe.sent_at
-            if not probe.is_escalated and age >= self._timing.answer:
+            if not probe.is_escalated and age >= self._timing.ack_timeout:
                 self._pending_probes[serial] = probe._replace(is_escalated=True)
                 out += self._send_indirect_probes(serial, probe.target)
-            elif age >= self._timing.period:
+            elif age >= self._timing.probe_interval:
                 del self._pending_probes[serial]
                 if probe.requested_by is None:
                     self._mark_suspect(probe.target, now)
         return out
 
-    def _send_indirect_probes(self, serial: int, target: str) -> list[Sending]:
+    def _send_indirect_probes(self, serial: int, target: str) -> list[OutgoingMessage]:
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING)
             if member.name not in (target, self.own.name)
         ]
-        count = min(self._timing.helpers, len(others))
+        count = min(self._timing.indirect_probes, len(others))
         helpers = self._rng.sample(others, count)
-        return [Sending(member.peer, Probe(serial, target)) for member in helpers]
+        return [
+            OutgoingMessage(member.peer, Probe(serial, target)) for member in helpers
+        ]
 
     def _mark_suspect(self, name: str, now: float) -> None:
         member = self._members.get(name)
@@ -322,11 +328,11 @@
             member = self._members[name]
             if member.state != State.SUSPECT:
                 del self._suspected_at[name]
-            elif now - since >= self._timing.suspicion:
+            elif now - since >= self._timing.suspicion_timeout:
                 del self._suspected_at[name]
                 self._apply_update(member._replace(state=State.DEAD))
 
-    def _rejoin_dead(self) -> list[Sending]:
+    def _rejoin_dead(self) -> list[OutgoingMessage]:
         """Send a join to a dead member, to detect a healed partition."""
         dead = self.list_members(State.DEAD)
         if not dead:
@@ -344,14 +350,14 @@
             is_known = member[0] in self._members
             self._apply_update(Member(*member))
             if not is_known:
-                self._news.pop(member[0], None)
+                self._updates.pop(member[0], None)
 
     def _apply_update(self, member: Member) -> None:
         if member.name == self.own.name:
             self._refute(member)
             return
         known = self._members.get(member.name)
-        if known is not None and not member.is_newer(known):
+        if known is not None and not member.supersedes(known):
             return
         if known is not None and known.start < member.start:
             # A newer process has the name and address; the old one is dead.
@@ -381,21 +387,21 @@
         self._queue_update(self.own)
         self._changed = True
 
-    def _ping_some(self, everyone: bool = False) -> list[Sending]:
+    def _ping_some(self, everyone: bool = False) -> list[OutgoingMessage]:
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING, State.SUSPECT)
             if member.name != self.own.name
         ]
         if not everyone:
-            count = min(len(others), 2 * self._timing.helpers)
+            count = min(len(others), 2 * self._timing.indirect_probes)
             others = self._rng.sample(others, count)
         now = self._clock.now()
         return [self._ping(member, now) for member in others]
 
     def _queue_update(self, member: Member) -> None:
         count = max(2, len(self._members))
-        self._news[member.name] = 3 * math.ceil(math.log2(count))
+        self._updates[member.name] = 3 * math.ceil(math.log2(count))
 
     def _pick_updates(self, to: Member) -> list[list]:
         """Return the least sent updates for a message to ``to``.
@@ -403,12 +409,12 @@
         A suspected or dead receiver always gets its own state, so that it can
         refute it.
         """
-        names = sorted(self._news, key=self._news.__getitem__, reverse=True)
-        names = names[:NEWS_IN_MESSAGE]
+        names = sorted(self._updates, key=self._updates.__getitem__, reverse=True)
+        names = names[:MAX_UPDATES_PER_MESSAGE]
         for name in names:
-            self._news[name] -= 1
-            if self._news[name] <= 0:
-                del self._news[name]
+            self._updates[name] -= 1
+            if self._updates[name] <= 0:
+                del self._updates[name]
         if to.state >= State.SUSPECT and to.name not in names:
             names.append(to.name)
         return [list(self._members[name]) for name in names]
--- a/roadlift/membership/members.py
+++ b/roadlift/membership/members.py
@@ -40,7 +40,7 @@
         """Return the unique name of the process."""
         return f"{self.name}#{self.start}"
 
-    def is_newer(self, other: "Member") -> bool:
+    def supersedes(self, other: "Member") -> bool:
         """Return whether this state supersedes ``other``."""
         return self._rank() > other._rank()
 
