--- a/roadlift/daemon/leaving.py
+++ b/roadlift/daemon/leaving.py
@@ -36,7 +36,7 @@
 
     def leave(self) -> None:
         """Begin to leave; a second time does nothing."""
-        if self._drain.is_leaving:
+        if self._drain.is_draining:
             return
         log.info("The instance is leaving.")
         self._drain.start()
@@ -46,7 +46,7 @@
     def _tick(self) -> None:
         gateway = self._kernel.get(Gateway)
         owned = len(self._kernel.get(Owners).list_owned())
-        phase = self._drain.measure_phase(gateway.running, owned)
+        phase = self._drain.compute_phase(gateway.running, owned)
         gateway.is_closed = phase >= Phase.CLOSED
         if phase is Phase.ENDED:
             log.info("The instance is gone with %d requests cut.", gateway.running)
--- a/roadlift/draining/drain.py
+++ b/roadlift/draining/drain.py
@@ -36,7 +36,7 @@
         self._started_at: float | None = None
 
     @property
-    def is_leaving(self) -> bool:
+    def is_draining(self) -> bool:
         """Return whether draining has started."""
         return self._started_at is not None
 
@@ -45,7 +45,7 @@
         if self._started_at is None:
             self._started_at = self._clock.now()
 
-    def measure_phase(self, running: int, owned: int) -> Phase:
+    def compute_phase(self, running: int, owned: int) -> Phase:
         """Return the phase, given the running requests and owned endpoints."""
         if self._started_at is None:
             return Phase.SERVING
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -106,7 +106,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether new callers should come here."""
-        return self._follower.is_ready and not self._drain.is_leaving
+        return self._follower.is_ready and not self._drain.is_draining
 
     def start(self) -> None:
         """Bind the addresses and accept."""
@@ -128,7 +128,7 @@
 
     def leave(self) -> None:
         """Begin to leave; a second time does nothing."""
-        if self._drain.is_leaving:
+        if self._drain.is_draining:
             return
         log.event("leaving", running=len(self._exchanges))
         self._drain.start()
@@ -203,7 +203,7 @@
         route = self._find_route(call)
         if not self._follower.directory.is_known:
             raise NoConfiguration("no endpoint is known yet", 1.0)
-        phase = self._drain.measure_phase(1, 0)
+        phase = self._drain.compute_phase(1, 0)
         if phase >= Phase.ENDED or (phase is Phase.CLOSED and route.is_long):
             # A stream that began now might be cut at the end of the leaving.
             raise Draining(retry_after=0.1)
@@ -253,7 +253,7 @@
         self._server.limits = configuration.limits
 
     def _tick(self) -> None:
-        phase = self._drain.measure_phase(len(self._exchanges), 0)
+        phase = self._drain.compute_phase(len(self._exchanges), 0)
         if phase is Phase.SERVING:
             return
         if phase >= Phase.CLOSED and not self._server.is_draining:
--- a/tests/steps/retry_steps.py
+++ b/tests/steps/retry_steps.py
@@ -54,10 +54,10 @@
 )
 def step_left(context, age, running, owned):
     """Check that it is serving, then compute its phase at an age."""
-    assert context.drain.measure_phase(running, owned).name == "SERVING"
+    assert context.drain.compute_phase(running, owned).name == "SERVING"
     context.drain.start()
     context.clock.advance(age)
-    context.phase = context.drain.measure_phase(running, owned)
+    context.phase = context.drain.compute_phase(running, owned)
 
 
 @then("its phase is {phase}")
