--- a/benchmarks/capacity/processor.py
+++ b/benchmarks/capacity/processor.py
@@ -205,7 +205,9 @@
     for events in (1, 2, 4, 8):
         frames = EventFrames()
         data = (b"id: 1\ndata: " + b"x" * 60 + b"\n\n") * events
-        points.append((events, time_call(lambda f=frames, d=data: f.take_whole(d))))
+        points.append(
+            (events, time_call(lambda f=frames, d=data: f.extract_complete(d)))
+        )
     return _fit_times("processor.frames", "event", points)
 
 
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -434,7 +434,7 @@
         return said
 
     def _judge(self, status: int, body: bytes) -> RoadliftError:
-        error = self._api.judge_refusal(status, body)
+        error = self._api.classify_refusal(status, body)
         is_gone = isinstance(error, RefusedByEndpoint) and status == 404
         if is_gone and self._pin is not None:
             self._pins.drop(self._pin)
@@ -455,7 +455,7 @@
 
     def _pass(self, data: bytes) -> None:
         if self._frames is not None:
-            data = self._frames.take_whole(data)
+            data = self._frames.extract_complete(data)
         super()._pass(data)
 
     def _finish(self) -> None:
@@ -471,7 +471,7 @@
 
     def _resume(self) -> bool:
         """Go on with a cut stream behind the last whole event."""
-        last_id = self._frames.cut()
+        last_id = self._frames.discard_partial()
         request = self._api.build_resume(self._resume_from, last_id)
         if request is None or self._tries >= MOST_TRIES or self._pin is None:
             return False
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -338,7 +338,7 @@
 
         def receive(answer: Answer) -> None:
             """Judge the endpoint's answer."""
-            finish(self._api.judge_order(order, answer))
+            finish(self._api.classify_order(order, answer))
 
         def fail(error: RoadliftError) -> None:
             """Tell what never left from what is in doubt."""
--- a/roadlift/endpoints/api.py
+++ b/roadlift/endpoints/api.py
@@ -31,7 +31,7 @@
     def build_order(self, order: Order, path: str) -> Request:
         """Return the request for a load or unload order."""
 
-    def judge_order(self, order: Order, answer: Answer) -> OrderResult:
+    def classify_order(self, order: Order, answer: Answer) -> OrderResult:
         """Return the result of an order from its answer."""
 
     def build_fence(self, fence: int) -> Request:
@@ -55,7 +55,7 @@
     def build_run(self, path: str, body: dict, copy: str, priority: str) -> Request:
         """Return the request that runs a caller's call on a copy."""
 
-    def judge_refusal(self, status: int, body: bytes) -> RoadliftError:
+    def classify_refusal(self, status: int, body: bytes) -> RoadliftError:
         """Return what an answer with an error status means for the run."""
 
     def build_resume(self, headers: dict[str, str], last_id: str) -> Request | None:
--- a/roadlift/endpoints/events.py
+++ b/roadlift/endpoints/events.py
@@ -8,7 +8,7 @@
 _EVENT_END = b"\n\n"
 _DONE = b"data: [DONE]\n\n"
 _ID = b"id:"
-MOST_HELD = 1048576  # Bytes of one event; a longer one is forwarded in pieces.
+MAX_EVENT_BYTES = 1048576  # Bytes of one event; a longer one is forwarded in pieces.
 
 
 class EventFrames:
@@ -19,7 +19,7 @@
         self._last = b""
         self.is_ended = False
 
-    def take_whole(self, data: bytes) -> bytes:
+    def extract_complete(self, data: bytes) -> bytes:
         """Return the bytes up to the end of the last complete event."""
         if self._held:
             data = self._held + data
@@ -34,13 +34,13 @@
     def _hold_rest(self, data: bytes) -> bytes:
         """Buffer what follows the last complete event; return the rest."""
         end = data.rfind(_EVENT_END)
-        if end < 0 and len(data) > MOST_HELD:
+        if end < 0 and len(data) > MAX_EVENT_BYTES:
             return data
         end = end + len(_EVENT_END) if end >= 0 else 0
         self._held = data[end:]
         return data[:end]
 
-    def cut(self) -> str:
+    def discard_partial(self) -> str:
         """Discard a partial event; return the id of the last complete one."""
         self._held = b""
         start = self._last.rfind(_ID)
--- a/roadlift/endpoints/openai.py
+++ b/roadlift/endpoints/openai.py
@@ -47,7 +47,7 @@
             target = "/v1/unload_lora_adapter"
         return Request("POST", target, headers, json.dumps(body).encode())
 
-    def judge_order(self, order: Order, answer: Answer) -> OrderResult:
+    def classify_order(self, order: Order, answer: Answer) -> OrderResult:
         """Return the result of an order from its answer."""
         if answer.status == 200:
             return OrderResult.DONE
@@ -100,7 +100,7 @@
         content = {**body, "model": copy, "priority": RANKS[priority]}
         return Request("POST", path, _JSON, json.dumps(content).encode())
 
-    def judge_refusal(self, status: int, body: bytes) -> RoadliftError:
+    def classify_refusal(self, status: int, body: bytes) -> RoadliftError:
         """Return what an answer with an error status means for the run.
 
         An unknown model name (404) and a full queue (429) are refusals before
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -467,7 +467,7 @@
             self._held += data[: MOST_HELD - len(self._held)]
             return
         if self._frames is not None:
-            self._write(self._frames.take_whole(data))
+            self._write(self._frames.extract_complete(data))
             return
         if self._caller.started:
             self._write(data)
@@ -604,7 +604,9 @@
         self._note("failed", error=str(error), given_up=reason)
         if reason is None:
             if self._frames is not None:
-                self._resume_after = self._frames.cut() or self._resume_after
+                self._resume_after = (
+                    self._frames.discard_partial() or self._resume_after
+                )
             self._try_again(error)
         elif isinstance(error, EndpointFailed) and self._may_pass_failure():
             # The endpoint's own failure is passed on as it is.
--- a/standins/broken.py
+++ b/standins/broken.py
@@ -138,7 +138,7 @@
 
 def _pass_bytes_on() -> None:
     """Pass a stream's bytes on, also parts of events."""
-    EventFrames.take_whole = lambda self, data: data
+    EventFrames.extract_complete = lambda self, data: data
 
 
 RULES: dict[str, Callable[[], None]] = {
