--- a/roadlift/daemon/bundles.py
+++ b/roadlift/daemon/bundles.py
@@ -119,7 +119,7 @@
             self._send(self.spreader.hear_number(process, heads[name]))
 
     def _read_if_reader(self) -> None:
-        own = self._members.detector.own
+        own = self._members.detector.local_member
         zone = self._members.list_zone(own.zone)
         if self._is_reading or not self.spreader.is_reader(own.name, zone):
             return
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -507,7 +507,7 @@
 
     def _choose(self) -> Endpoint | None:
         """Return the least busy endpoint, in this zone where there is one."""
-        own_zone = self._members.detector.own.zone
+        own_zone = self._members.detector.local_member.zone
         found = [
             endpoint
             for endpoint in self._bundles.directory.list_services(self.call.service)
--- a/roadlift/daemon/members.py
+++ b/roadlift/daemon/members.py
@@ -45,7 +45,7 @@
     @property
     def process(self) -> str:
         """Return the name of this process."""
-        return self.detector.own.process
+        return self.detector.local_member.process
 
     @property
     def is_settled(self) -> bool:
@@ -104,7 +104,7 @@
         return [
             member.process
             for member in self.detector.list_members(*states)
-            if member.name != self.detector.own.name
+            if member.name != self.detector.local_member.name
         ]
 
     def find_process(self, instance: str) -> str | None:
@@ -133,7 +133,7 @@
         for member in self.detector.list_members():
             if member.state == State.GONE:
                 self._transport.disconnect(member.peer)
-            elif member.name != self.detector.own.name:
+            elif member.name != self.detector.local_member.name:
                 self._transport.connect(member.peer)
         alive = self.detector.list_members(State.ALIVE, State.SUSPECT)
         self._zones = frozenset(member.zone for member in alive)
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -143,7 +143,7 @@
         self._drop_dead()
         if not self._members.is_settled:
             return
-        own = self._members.detector.own
+        own = self._members.detector.local_member
         directory = self._bundles.directory
         zone = tuple(self._members.list_zone(own.zone))
         if (directory, zone) != self._elected_for:
--- a/roadlift/daemon/status.py
+++ b/roadlift/daemon/status.py
@@ -72,9 +72,9 @@
         transport = get(Transport)
         store = get(StorePart).store
         return {
-            "process": detector.own.process,
-            "zone": detector.own.zone,
-            "state": State(detector.own.state).name.lower(),
+            "process": detector.local_member.process,
+            "zone": detector.local_member.zone,
+            "state": State(detector.local_member.state).name.lower(),
             "bundle": {"number": chain.head.number, "digest": chain.head.digest},
             "running": self._front.running,
             "members": [
--- a/roadlift/membership/detector.py
+++ b/roadlift/membership/detector.py
@@ -58,19 +58,19 @@
 
     def __init__(
         self,
-        own: Member,
+        local_member: Member,
         clock: Clock,
         rng: random.Random,
         timing: Timing = DEFAULT_TIMING,
     ) -> None:
-        self.own = own
+        self.local_member = local_member
         self.head = 0
         self.has_joined = False
         self.heads: dict[str, int] = {}
         self._clock = clock
         self._rng = rng
         self._timing = timing
-        self._members: dict[str, Member] = {own.name: own}
+        self._members: dict[str, Member] = {local_member.name: local_member}
         self._gone: set[str] = set()
         self._updates: dict[str, int] = {}
         self._suspected_at: dict[str, float] = {}
@@ -84,7 +84,7 @@
         self._fingerprint: int | None = None
         self._agreed_since: float | None = None
         self._started_at = clock.now()
-        self._queue_update(own)
+        self._queue_update(local_member)
 
     # Queries.
 
@@ -110,7 +110,7 @@
         return [
             member.process
             for member in self.list_members()
-            if member.state != State.GONE and member.name != self.own.name
+            if member.state != State.GONE and member.name != self.local_member.name
         ]
 
     def has_agreed(self, seconds: float) -> bool:
@@ -159,9 +159,9 @@
     def join(self, addresses: Iterable[str]) -> list[OutgoingMessage]:
         """Request all members from the instances at ``addresses``."""
         return [
-            OutgoingMessage(address, Join(list(self.own)))
+            OutgoingMessage(address, Join(list(self.local_member)))
             for address in addresses
-            if address != self.own.peer
+            if address != self.local_member.peer
         ]
 
     # Time and messages.
@@ -224,7 +224,11 @@
 
     def _pick_alive(self) -> Member | None:
         """Return a random other member, in place of an unknown sender."""
-        others = [m for m in self.list_members(State.ALIVE) if m.name != self.own.name]
+        others = [
+            m
+            for m in self.list_members(State.ALIVE)
+            if m.name != self.local_member.name
+        ]
         return self._rng.choice(others) if others else None
 
     def _compute_fingerprint(self) -> int:
@@ -285,7 +289,7 @@
         self._probe_order = [
             member.name
             for member in self.list_members()
-            if member.state < State.DEAD and member.name != self.own.name
+            if member.state < State.DEAD and member.name != self.local_member.name
         ]
         self._rng.shuffle(self._probe_order)
         if not self._probe_order:
@@ -309,7 +313,7 @@
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING)
-            if member.name not in (target, self.own.name)
+            if member.name not in (target, self.local_member.name)
         ]
         count = min(self._timing.indirect_probes, len(others))
         helpers = self._rng.sample(others, count)
@@ -353,7 +357,7 @@
                 self._updates.pop(member[0], None)
 
     def _apply_update(self, member: Member) -> None:
-        if member.name == self.own.name:
+        if member.name == self.local_member.name:
             self._refute(member)
             return
         known = self._members.get(member.name)
@@ -373,25 +377,29 @@
 
     def _refute(self, claimed: Member) -> None:
         """Refute a false state by raising the local incarnation number."""
-        own = self.own
-        if claimed.start != own.start or claimed.state <= own.state:
+        local_member = self.local_member
+        if claimed.start != local_member.start or claimed.state <= local_member.state:
             return
-        self.own = own._replace(number=max(claimed.number, own.number) + 1)
-        self._members[own.name] = self.own
-        self._queue_update(self.own)
+        self.local_member = local_member._replace(
+            number=max(claimed.number, local_member.number) + 1
+        )
+        self._members[local_member.name] = self.local_member
+        self._queue_update(self.local_member)
 
     def _set_local_state(self, state: State) -> None:
-        self.own = self.own._replace(state=state, number=self.own.number + 1)
-        self._members[self.own.name] = self.own
+        self.local_member = self.local_member._replace(
+            state=state, number=self.local_member.number + 1
+        )
+        self._members[self.local_member.name] = self.local_member
         self._fingerprint = None
-        self._queue_update(self.own)
+        self._queue_update(self.local_member)
         self._changed = True
 
     def _ping_some(self, everyone: bool = False) -> list[OutgoingMessage]:
         others = [
             member
             for member in self.list_members(State.ALIVE, State.LEAVING, State.SUSPECT)
-            if member.name != self.own.name
+            if member.name != self.local_member.name
         ]
         if not everyone:
             count = min(len(others), 2 * self._timing.indirect_probes)
--- a/tests/steps/growth_steps.py
+++ b/tests/steps/growth_steps.py
@@ -45,7 +45,9 @@
     if now < detector._next_period:
         return []
     detector._next_period = now + 1.0
-    others = [m for m in detector.list_members(State.ALIVE) if m != detector.own]
+    others = [
+        m for m in detector.list_members(State.ALIVE) if m != detector.local_member
+    ]
     return [detector._ping(member, now) for member in others]
 
 
--- a/tests/steps/idempotency_steps.py
+++ b/tests/steps/idempotency_steps.py
@@ -105,7 +105,7 @@
             script.extend(["down"] * 3)
             context.claims.store_answer(claim, context.answer)
         case _:
-            raise AssertionError(f"unknown state of a claim: {state!r}")
+            raise AssertionError(f"unknown state of a claim: {state}")
     _advance(context, 5)
 
 
