--- a/tests/steps/growth_steps.py
+++ b/tests/steps/growth_steps.py
@@ -42,9 +42,9 @@
 
 def _ping_everyone(detector):
     now = detector._clock.now()
-    if now < detector._next_period:
+    if now < detector._next_probe_at:
         return []
-    detector._next_period = now + 1.0
+    detector._next_probe_at = now + 1.0
     others = [
         m for m in detector.list_members(State.ALIVE) if m != detector.local_member
     ]
