--- a/benchmarks/capacity/processor.py
+++ b/benchmarks/capacity/processor.py
@@ -69,7 +69,7 @@
     points = []
     for peers in (30, 90, 180, 360):
         detector = make_detector(peers)
-        detector._news.clear()
+        detector._updates.clear()
         sender = detector.list_members()[0].process
         ping = Ping(1, [], 5, 0)
 
@@ -145,7 +145,7 @@
         def live(book=book, table=table, models=models) -> None:
             """Ask for a pin, use it and give it back."""
             model = models[0]
-            nonce = table.ask("e", model, 99.0)
+            nonce = table.open_request("e", model, 99.0)
             ask = _send(Acquire("e", nonce, model, "interactive", 9.0, True))
             (out,) = book.acquire("entry-1#1", ask, 1.0)
             pin = table.accept(_send(out.message), 1.0)
@@ -207,7 +207,9 @@
     for events in (1, 2, 4, 8):
         frames = EventFrames()
         data = (b"id: 1\ndata: " + b"x" * 60 + b"\n\n") * events
-        points.append((events, time_call(lambda f=frames, d=data: f.take_whole(d))))
+        points.append(
+            (events, time_call(lambda f=frames, d=data: f.extract_complete(d)))
+        )
     return _fit_times("processor.frames", "event", points)
 
 
--- a/benchmarks/policies/world.py
+++ b/benchmarks/policies/world.py
@@ -22,7 +22,7 @@
     Outgoing,
     OwnershipPolicy,
 )
-from roadlift.pins.seeker import Seeker, Waiter
+from roadlift.pins.requester import PinRequester, Waiter
 from roadlift.pins.table import HeldPin, PinTable
 from roadlift.policy.admission import DEFAULT_LIMITS, EndpointLimits
 from roadlift.policy.eviction import evictors
@@ -158,9 +158,11 @@
         self._world = world
         self._events = world.events
         self._table = PinTable()
-        self._seeker = Seeker(self, self._table)
+        self._requester = PinRequester(self, self._table)
         widths = dict.fromkeys(world.names, world.deployment.width)
-        self._seeker.route_by(routers.get(world.policy.router)(world.names), widths)
+        self._requester.set_router(
+            routers.get(world.policy.router)(world.names), widths
+        )
         self._books: dict[str, EndpointRecord] = {}
         self._incarnations: dict[str, int] = {}
         self._used: set[str] = set()
@@ -187,8 +189,8 @@
 
     def start(self, end: float) -> None:
         """Begin the periodic work, up to ``end``."""
-        self._repeat(SEEKER_TICK, end, self._seeker.tick)
-        self._repeat(REPORT_PERIOD, end, self._seeker.report)
+        self._repeat(SEEKER_TICK, end, self._requester.tick)
+        self._repeat(REPORT_PERIOD, end, self._requester.report)
         self._repeat(OWNER_TICK, end, self._tick)
 
     def take(self, arrival: Arrival) -> None:
@@ -200,7 +202,7 @@
             lambda pin: self._begin(arrival, pin),
             lambda error: self._refuse(arrival, error),
         )
-        self._seeker.place(arrival.model, waiter)
+        self._requester.place(arrival.model, waiter)
 
     def restart(self, endpoint: str) -> None:
         """Restart an engine: its copies are gone, its runs are repeated."""
@@ -228,7 +230,7 @@
         """Return the instance that owns an endpoint."""
         return self._world.owners[endpoint].name
 
-    def is_resting(self, endpoint: str) -> bool:
+    def is_backing_off(self, endpoint: str) -> bool:
         """Tell that no endpoint asks for rest."""
         return False
 
@@ -259,7 +261,7 @@
                 level = Level(message.endpoint, book.count_running())
                 self.send(sender, level)
         else:
-            self._seeker.receive(sender, message)
+            self._requester.receive(sender, message)
 
     def _receive_acquire(self, sender: str, ask: Acquire) -> None:
         book = self._books.get(ask.endpoint)
@@ -288,7 +290,7 @@
             arrival.priority,
             arrival.tokens,
             lambda: self._note(arrival, now - arrival.at),
-            lambda: self._seeker.end(pin),
+            lambda: self._requester.end(pin),
         )
 
     def _note(self, arrival: Arrival, stall: float) -> None:
--- a/roadlift/daemon/members.py
+++ b/roadlift/daemon/members.py
@@ -7,7 +7,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
-from roadlift.membership.detector import Detector, Sending, Timing
+from roadlift.membership.detector import Detector, OutgoingMessage, Timing
 from roadlift.membership.members import Member, State
 from roadlift.membership.messages import Ack, Join, Ping, Probe, Roster
 from roadlift.relay.upstream import Address, Answer, Request, fetch
@@ -45,7 +45,7 @@
     @property
     def process(self) -> str:
         """Return the name of this process."""
-        return self.detector.own.process
+        return self.detector.local_member.process
 
     @property
     def is_settled(self) -> bool:
@@ -79,12 +79,12 @@
 
     def leave(self) -> None:
         """Tell the peers that this process takes no new work."""
-        self._send(self.detector.leave())
+        self._send(self.detector.announce_leaving())
         self._notify()
 
     def go(self) -> None:
         """Tell the peers that this process is gone."""
-        self._send(self.detector.go())
+        self._send(self.detector.announce_gone())
 
     def list_zone(self, zone: str) -> list[str]:
         """Return the instances of a zone that may take work."""
@@ -104,7 +104,7 @@
         return [
             member.process
             for member in self.detector.list_members(*states)
-            if member.name != self.detector.own.name
+            if member.name != self.detector.local_member.name
         ]
 
     def find_process(self, instance: str) -> str | None:
@@ -133,14 +133,14 @@
         for member in self.detector.list_members():
             if member.state == State.GONE:
                 self._transport.disconnect(member.peer)
-            elif member.name != self.detector.own.name:
+            elif member.name != self.detector.local_member.name:
                 self._transport.connect(member.peer)
         alive = self.detector.list_members(State.ALIVE, State.SUSPECT)
         self._zones = frozenset(member.zone for member in alive)
         for listener in self._listeners:
             listener()
 
-    def _send(self, sendings: list[Sending]) -> None:
+    def _send(self, sendings: list[OutgoingMessage]) -> None:
         for sending in sendings:
             self._transport.send(sending.to, sending.message)
 
@@ -169,7 +169,7 @@
             refused = isinstance(error, EndpointUnreachable)
             if refused and error.detail == "ECONNREFUSED":
                 log.warning("Process %s is gone: its port refuses.", member.process)
-                self.detector.prove_gone(member.process)
+                self.detector.confirm_gone(member.process)
                 self._notify()
 
         def answer(_: Answer) -> None:
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -149,7 +149,7 @@
         self._drop_dead()
         if not self._members.is_settled:
             return
-        own = self._members.detector.own
+        own = self._members.detector.local_member
         directory = self._bundles.directory
         zone = tuple(self._members.list_zone(own.zone))
         if (directory, zone) != self._elected_for:
@@ -348,7 +348,7 @@
 
         def receive(answer: Answer) -> None:
             """Judge the endpoint's answer."""
-            finish(self._api.judge_order(order, answer))
+            finish(self._api.classify_order(order, answer))
 
         def fail(error: RoadliftError) -> None:
             """Tell what never left from what is in doubt."""
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -499,7 +499,7 @@
             self._buffer += data[: MAX_BUFFERED_BYTES - len(self._buffer)]
             return
         if self._frames is not None:
-            self._write(self._frames.take_whole(data))
+            self._write(self._frames.extract_complete(data))
             return
         if self._caller.started:
             self._write(data)
@@ -636,7 +636,9 @@
         self._record_step("failed", error=str(error), given_up=reason)
         if reason is None:
             if self._frames is not None:
-                self._resume_after = self._frames.cut() or self._resume_after
+                self._resume_after = (
+                    self._frames.discard_partial() or self._resume_after
+                )
             self._resend(error)
         elif isinstance(error, EndpointFailed) and self._may_forward_failure():
             # An error answer of the endpoint is forwarded unchanged.
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -109,7 +109,7 @@
     @property
     def is_ready(self) -> bool:
         """Return whether the instance is ready for new callers."""
-        return self._follower.is_ready and not self._drain.is_leaving
+        return self._follower.is_ready and not self._drain.is_draining
 
     def start(self) -> None:
         """Bind the addresses and start to accept."""
@@ -131,7 +131,7 @@
 
     def leave(self) -> None:
         """Start to drain; further calls have no effect."""
-        if self._drain.is_leaving:
+        if self._drain.is_draining:
             return
         log.event("leaving", running=len(self._exchanges))
         self._drain.start()
@@ -209,7 +209,7 @@
         route = self._find_route(call)
         if not self._follower.directory.is_known:
             raise NoConfiguration("no endpoint is known yet", 1.0)
-        phase = self._drain.measure_phase(1, 0)
+        phase = self._drain.compute_phase(1, 0)
         if phase >= Phase.ENDED or (phase is Phase.CLOSED and route.is_long):
             # A stream that starts now might be cut at the end of the drain.
             raise Draining(retry_after=0.1)
@@ -260,7 +260,7 @@
         self._server.limits = configuration.limits
 
     def _check_drain(self) -> None:
-        phase = self._drain.measure_phase(len(self._exchanges), 0)
+        phase = self._drain.compute_phase(len(self._exchanges), 0)
         if phase is Phase.SERVING:
             return
         if phase >= Phase.CLOSED and not self._server.is_draining:
--- a/roadlift/pins/__init__.py
+++ b/roadlift/pins/__init__.py
@@ -1,9 +1,10 @@
-"""Hold pins on copies, so that none is evicted under a request.
+"""Hold pins on copies, so that no copy is evicted while a request uses it.
 
-Public surface: ``PinTable`` keeps them, ``Seeker`` finds them for requests.
+Public API: ``PinTable`` stores the pins that this process holds,
+``PinRequester`` obtains pins for requests.
 """
 
-from roadlift.pins.seeker import Host, Seeker, Waiter
+from roadlift.pins.requester import Host, PinRequester, Waiter
 from roadlift.pins.table import HeldPin, PinTable
 
-__all__ = ["HeldPin", "Host", "PinTable", "Seeker", "Waiter"]
+__all__ = ["HeldPin", "Host", "PinRequester", "PinTable", "Waiter"]
--- a/tests/steps/growth_steps.py
+++ b/tests/steps/growth_steps.py
@@ -42,10 +42,12 @@
 
 def _ping_everyone(detector):
     now = detector._clock.now()
-    if now < detector._next_period:
+    if now < detector._next_probe_at:
         return []
-    detector._next_period = now + 1.0
-    others = [m for m in detector.list_members(State.ALIVE) if m != detector.own]
+    detector._next_probe_at = now + 1.0
+    others = [
+        m for m in detector.list_members(State.ALIVE) if m != detector.local_member
+    ]
     return [detector._ping(member, now) for member in others]
 
 
