--- a/roadlift/core/kernel.py
+++ b/roadlift/core/kernel.py
@@ -18,10 +18,10 @@
 from roadlift.core.registry import Registry
 from roadlift.relay.upstream import Dialer, SocketDialer
 
-parts: Registry = Registry("component")
+components: Registry = Registry("component")
 
 
-class Part(Protocol):
+class KernelComponent(Protocol):
     """A component of the process; ``needs`` names its dependencies."""
 
     needs: ClassVar[tuple[str, ...]]
@@ -33,15 +33,16 @@
         """Close all sockets and timers."""
 
 
-PartType = TypeVar("PartType")
+ComponentType = TypeVar("ComponentType")
 
 
 class Kernel(Component):
     """The root component: settings, clock, event loop and components.
 
-    ``given`` holds components that replace registered ones, by name.
-    ``stamp`` orders the successive processes of one instance and seeds random
-    generators. It is the wall clock in milliseconds unless a test sets it.
+    ``overrides`` holds components that replace registered ones, by name.
+    ``started_at_ms`` orders the successive processes of one instance and
+    seeds random generators. It is the wall clock in milliseconds unless a
+    test sets it.
     ``lines`` is the buffer of log lines if they are written as JSON.
     """
 
@@ -52,8 +53,8 @@
         settings: object,
         clock: Clock | None = None,
         dialer: Dialer | None = None,
-        given: dict[str, Part] | None = None,
-        stamp: int | None = None,
+        overrides: dict[str, KernelComponent] | None = None,
+        started_at_ms: int | None = None,
     ) -> None:
         super().__init__(channel=self.channel)
         self.settings = settings
@@ -61,16 +62,18 @@
         self.loop = Loop(self.clock)
         self.loop.register(self)
         self.dialer = dialer or SocketDialer(self.loop)
-        self.stamp = time.time_ns() // 1_000_000 if stamp is None else stamp
+        self.started_at_ms = (
+            time.time_ns() // 1_000_000 if started_at_ms is None else started_at_ms
+        )
         self.lines: LineBuffer | None = None
-        self._components: dict[str, Part] = dict(given or {})
+        self._components: dict[str, KernelComponent] = dict(overrides or {})
         self._is_open = False
 
-    def get(self, kind: type[PartType]) -> PartType:
+    def get(self, kind: type[ComponentType]) -> ComponentType:
         """Return the component registered as ``kind.name``."""
         return self.find(kind.name)
 
-    def find(self, name: str) -> Part:
+    def find(self, name: str) -> KernelComponent:
         """Return the component ``name`` or raise ImproperlyConfigured."""
         try:
             return self._components[name]
@@ -79,7 +82,7 @@
 
     def open(self, names: Iterable[str] | None = None) -> None:
         """Build and start components (default: all), dependencies first."""
-        for name in parts.names() if names is None else names:
+        for name in components.names() if names is None else names:
             self._build(name, ())
         self._is_open = True
         for component in list(self._components.values()):
@@ -99,7 +102,7 @@
         if name in path:
             cycle = " > ".join((*path, name))
             raise ImproperlyConfigured(f"components depend on each other: {cycle}")
-        kind = parts.get(name)
+        kind = components.get(name)
         for dependency in kind.needs:
             self._build(dependency, (*path, name))
         self._components[name] = kind(self)
--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 
 from roadlift.core.errors import EndsEndpoints
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.decisions.crashes import Crashes, CrashEvidence
 
 log = PartLog("crashes")
 
 
-@parts.register("crashledger")
+@components.register("crashledger")
 class CrashLedger:
     """The crash evidence that this process has.
 
--- a/roadlift/daemon/bundles.py
+++ b/roadlift/daemon/bundles.py
@@ -10,7 +10,7 @@
 from roadlift.bundles.roll import HEAD_KEY, MOST_LINKS, HeadRow
 from roadlift.bundles.spread import Sending, Spreader
 from roadlift.core.errors import RoadliftError
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.members import Members
 from roadlift.daemon.transport import Transport
@@ -22,7 +22,7 @@
 log = PartLog("bundles")
 
 
-@parts.register("store")
+@components.register("store")
 class StorePart:
     """The connection to the platform's stores."""
 
@@ -48,7 +48,7 @@
     adapter: AdapterEntry
 
 
-@parts.register("bundles")
+@components.register("bundles")
 class Bundles:
     """The bundle in force at this process."""
 
@@ -60,7 +60,9 @@
         self._members = kernel.get(Members)
         self._store = kernel.get(StorePart).store
         self.chain = Chain()
-        self.spreader = Spreader(self.chain, kernel.clock, random.Random(kernel.stamp))
+        self.spreader = Spreader(
+            self.chain, kernel.clock, random.Random(kernel.started_at_ms)
+        )
         self._directories = DirectoryCache()
         self._timers = []
         self._is_reading = False
--- a/roadlift/daemon/calls.py
+++ b/roadlift/daemon/calls.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
@@ -15,7 +15,7 @@
 log = PartLog("crashes")
 
 
-@parts.register("calls")
+@components.register("calls")
 class Calls:
     """The retry budget, the claims, the ends and the calls at services."""
 
--- a/roadlift/daemon/front.py
+++ b/roadlift/daemon/front.py
@@ -1,6 +1,6 @@
 """Serve callers by HTTP: the sockets in front of the gateway."""
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.gateway import Gateway
 from roadlift.daemon.leaving import Leaving
 from roadlift.http.messages import HttpLimits
@@ -8,7 +8,7 @@
 from roadlift.relay.upstream import Address
 
 
-@parts.register("front")
+@components.register("front")
 class Front:
     """The HTTP server of this process."""
 
--- a/roadlift/daemon/gateway.py
+++ b/roadlift/daemon/gateway.py
@@ -13,7 +13,7 @@
     UnknownPath,
     UnknownService,
 )
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.exchange import Call, EngineExchange, Exchange, ServiceExchange
@@ -31,7 +31,7 @@
 log = PartLog("gateway")
 
 
-@parts.register("gateway")
+@components.register("gateway")
 class Gateway:
     """What takes callers' requests, apart from the sockets."""
 
--- a/roadlift/daemon/leaving.py
+++ b/roadlift/daemon/leaving.py
@@ -1,6 +1,6 @@
 """Leave on SIGTERM without cutting off a request."""
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.gateway import Gateway
 from roadlift.daemon.members import Members
@@ -13,7 +13,7 @@
 log = PartLog("leaving")
 
 
-@parts.register("leaving")
+@components.register("leaving")
 class Leaving:
     """The way out of this process."""
 
--- a/roadlift/daemon/members.py
+++ b/roadlift/daemon/members.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from roadlift.core.errors import EndpointUnreachable, RoadliftError
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
 from roadlift.membership.detector import Detector, Sending, Timing
@@ -20,7 +20,7 @@
 log = PartLog("members")
 
 
-@parts.register("members")
+@components.register("members")
 class Members:
     """This process's view of all instances."""
 
@@ -32,11 +32,17 @@
         self._kernel = kernel
         self._transport = kernel.get(Transport)
         own = Member(
-            settings.instance, kernel.stamp, settings.zone, settings.peer, settings.http
+            settings.instance,
+            kernel.started_at_ms,
+            settings.zone,
+            settings.peer,
+            settings.http,
         )
         period = settings.heartbeat_period
         timing = Timing(period, 0.4 * period, settings.suspicion)
-        self.detector = Detector(own, kernel.clock, random.Random(kernel.stamp), timing)
+        self.detector = Detector(
+            own, kernel.clock, random.Random(kernel.started_at_ms), timing
+        )
         self._transport.process = own.process
         self._timers = []
         self._listeners: list[Callable[[], None]] = []
--- a/roadlift/daemon/metrics.py
+++ b/roadlift/daemon/metrics.py
@@ -8,7 +8,7 @@
 import statsd
 
 from roadlift.core.errors import ImproperlyConfigured
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.relay.upstream import Address
 
 FLUSH_PERIOD = 1.0  # Seconds.
@@ -49,7 +49,7 @@
 _KINDS = {metric.name: metric.kind for metric in METRICS}
 
 
-@parts.register("metrics")
+@components.register("metrics")
 class Metrics:
     """The metrics of this process."""
 
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -6,7 +6,7 @@
 
 from roadlift.bundles.directory import Endpoint
 from roadlift.core.errors import RoadliftError
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.members import Members
@@ -68,7 +68,7 @@
             self.fills += 1
 
 
-@parts.register("owners")
+@components.register("owners")
 class Owners:
     """The endpoints that this process owns."""
 
--- a/roadlift/daemon/pins.py
+++ b/roadlift/daemon/pins.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from roadlift.bundles.directory import Directory
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.members import Members
 from roadlift.daemon.rests import Rests
@@ -16,7 +16,7 @@
 TICK = 0.1  # Seconds between looks at pins and askings.
 
 
-@parts.register("pins")
+@components.register("pins")
 class Pins:
     """The pins of this process, and the search for them."""
 
--- a/roadlift/daemon/rests.py
+++ b/roadlift/daemon/rests.py
@@ -2,14 +2,14 @@
 
 import random
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.decisions.availability import EndpointAvailability
 
 log = PartLog("rests")
 
 
-@parts.register("rests")
+@components.register("rests")
 class Rests:
     """The rests that endpoints asked for, by name.
 
@@ -21,7 +21,7 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._known: dict[str, EndpointAvailability] = {}
 
     def start(self) -> None:
--- a/roadlift/daemon/status.py
+++ b/roadlift/daemon/status.py
@@ -5,7 +5,7 @@
 from typing import Any, Protocol
 
 from roadlift.burn.record import BurnRecord
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.bundles import Bundles, StorePart
 from roadlift.daemon.members import Members
 from roadlift.daemon.metrics import Metrics
@@ -27,7 +27,7 @@
     burn: BurnRecord
 
 
-@parts.register("status")
+@components.register("status")
 class Status:
     """What this process tells of itself."""
 
--- a/roadlift/daemon/transport.py
+++ b/roadlift/daemon/transport.py
@@ -12,7 +12,7 @@
 
 from roadlift.core.codec import Envelope, decode, encode
 from roadlift.core.errors import MalformedMessage, UnknownMessage
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.core.traffic import RECEIVED, SENT, Traffic
 
@@ -28,7 +28,7 @@
 log = PartLog("transport")
 
 
-@parts.register("transport")
+@components.register("transport")
 class Transport:
     """The sockets between this process and its peers."""
 
--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -12,7 +12,7 @@
     StaleConfiguration,
     UnknownKey,
 )
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.instance.allowances import Allowances, UseNow
 from roadlift.instance.follower import Follower
 from roadlift.instance.metrics import InstanceMetrics
@@ -101,7 +101,7 @@
         self._access.count(self.organisation, outcome)
 
 
-@parts.register("access")
+@components.register("access")
 class Access:
     """Judges calls by their keys, by what is known, and by allowances."""
 
--- a/roadlift/instance/aggregator.py
+++ b/roadlift/instance/aggregator.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.workload import ReportedLoads
 from roadlift.instance.follower import Follower
@@ -62,7 +62,7 @@
     link_mbps: float
 
 
-@parts.register("aggregator")
+@components.register("aggregator")
 class Aggregator:
     """The instances that subscribe to this process, and what they are told."""
 
@@ -77,7 +77,7 @@
         self._leases = kernel.get(Leases)
         self._owner = kernel.get(Owner)
         self._subscription = kernel.get(Subscription)
-        process = f"{kernel.settings.peer} {kernel.stamp}"
+        process = f"{kernel.settings.peer} {kernel.started_at_ms}"
         self._stream = zlib.crc32(process.encode()) or 1
         self._news = NewsLog()
         self._changes: list[Change] = []
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.instance.follower import Follower
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.organisations.fleet import MIN_DEMAND, FleetState, FleetUse, Use
@@ -33,7 +33,7 @@
     news_age: float
 
 
-@parts.register("allowances")
+@components.register("allowances")
 class Allowances:
     """What this process's calls use of organisations' allowances."""
 
--- a/roadlift/instance/availabilities.py
+++ b/roadlift/instance/availabilities.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 
 from roadlift.core.errors import RoadliftError
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.availability import EndpointAvailability
@@ -31,7 +31,7 @@
 log = PartLog("standings")
 
 
-@parts.register("standings")
+@components.register("standings")
 class Availabilities:
     """The endpoints that are draining or requested a back-off."""
 
@@ -43,7 +43,7 @@
         self._loop = kernel.loop
         self._peer = kernel.settings.peer
         self._drain_time = kernel.settings.endpoint_drain_ms / 1000.0
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._format = kernel.get(Platform).adapter.calls
         self._follower = kernel.get(Follower)
         self._leases = kernel.get(Leases)
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -1,6 +1,6 @@
 """Publish the costs of the control plane: messages, bytes, store calls."""
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.core.traffic import Count, Kind
 from roadlift.daemon.transport import Transport
@@ -15,7 +15,7 @@
 log = PartLog("control")
 
 
-@parts.register("control")
+@components.register("control")
 class ControlCosts:
     """Publishes the counters of other components, and their increments."""
 
--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
@@ -18,7 +18,7 @@
 log = PartLog("crashes")
 
 
-@parts.register("crashes")
+@components.register("crashes")
 class CrashMonitor:
     """Crashes of endpoints that this process detects by its local calls."""
 
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 
 from roadlift.core.errors import InvalidConfiguration, MalformedMessage
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
@@ -60,7 +60,7 @@
 log = PartLog("follower")
 
 
-@parts.register("follower")
+@components.register("follower")
 class Follower:
     """What this instance knows of the platform's state."""
 
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -9,7 +9,7 @@
     NoRoute,
     RoadliftError,
 )
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.draining.drain import Drain, Phase
@@ -50,7 +50,7 @@
 log = PartLog("ingress")
 
 
-@parts.register("ingress")
+@components.register("ingress")
 class Ingress:
     """The callers' side of an instance."""
 
@@ -77,7 +77,7 @@
     def __init__(self, kernel: Kernel) -> None:
         settings = kernel.settings
         self._kernel = kernel
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._format = kernel.get(Platform).adapter.calls
         self._follower = kernel.get(Follower)
         self._placing = kernel.get(Placing)
--- a/roadlift/instance/knowledge.py
+++ b/roadlift/instance/knowledge.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from roadlift.core.codec import read_fields
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.workload import EngineLoad, Workload
 from roadlift.instance.follower import Follower
@@ -37,7 +37,7 @@
     list_at: float
 
 
-@parts.register("knowledge")
+@components.register("knowledge")
 class Knowledge:
     """The adapters at engines, their loads, and the signs of owners.
 
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from roadlift.core.errors import MalformedMessage, RoadliftError, VersionConflict
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
 from roadlift.instance.metrics import InstanceMetrics
@@ -52,7 +52,7 @@
     fence: int
 
 
-@parts.register("leases")
+@components.register("leases")
 class Leases:
     """The leases of all zones, as this process sees them.
 
@@ -68,7 +68,7 @@
         self._kernel = kernel
         self._store = kernel.get(Platform).store
         self._measures = kernel.get(InstanceMetrics)
-        self._process = f"{settings.instance}#{kernel.stamp}"
+        self._process = f"{settings.instance}#{kernel.started_at_ms}"
         self._zones = sorted({settings.zone, *filter(None, settings.zones.split(","))})
         quiet = settings.holder_quiet_ms / 1000.0
         self._leases = {
@@ -196,7 +196,7 @@
 
     def _measure_patience(self, zone: str) -> float:
         """Return how long this process lets others take a zone's lease."""
-        jitter = (self._kernel.stamp % 1000) / 1000.0 * JITTER
+        jitter = (self._kernel.started_at_ms % 1000) / 1000.0 * JITTER
         if self._kernel.settings.link_mbps < OWNER_LINK:
             jitter += WEAK_PATIENCE
         if zone == self._kernel.settings.zone:
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from roadlift.core.errors import InvalidLimit
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.decisions.limits import NO_BASIS, Basis, MinimumRate, normalize_limit
 from roadlift.decisions.rates import Rate
@@ -122,7 +122,7 @@
         self.announcements = 0
 
 
-@parts.register("limits")
+@components.register("limits")
 class EndpointLimits:
     """The rate limits of endpoints that this process observes."""
 
@@ -131,7 +131,7 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._follower = kernel.get(Follower)
         self._metrics = kernel.get(InstanceMetrics)
         self._known: dict[str, KnownLimit] = {}
--- a/roadlift/instance/metrics.py
+++ b/roadlift/instance/metrics.py
@@ -10,7 +10,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from roadlift.core.errors import ImproperlyConfigured
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.http.connection import Connection
 from roadlift.http.messages import HttpLimits, Received
@@ -305,7 +305,7 @@
 log = PartLog("measures")
 
 
-@parts.register("measures")
+@components.register("measures")
 class InstanceMetrics:
     """The metrics of this process, and their address if one is set."""
 
--- a/roadlift/instance/owner.py
+++ b/roadlift/instance/owner.py
@@ -1,6 +1,6 @@
 """Act as the owner of the zones whose lease this process holds."""
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.transport import Transport
 from roadlift.instance.follower import Follower
 from roadlift.instance.leases import OWNER_LINK, Leases
@@ -18,7 +18,7 @@
 RELEASE_INTERVAL = 10.0
 
 
-@parts.register("owner")
+@components.register("owner")
 class Owner:
     """The terms of this process as the owner of zones."""
 
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.limits import (
@@ -88,7 +88,7 @@
     basis: Basis
 
 
-@parts.register("permits")
+@components.register("permits")
 class Permits:
     """The permits of rate-limited endpoints: requested here, and granted."""
 
@@ -106,7 +106,7 @@
     def __init__(self, kernel: Kernel) -> None:
         self._kernel = kernel
         self._peer = kernel.settings.peer
-        self._process = f"{self._peer} {kernel.stamp}"
+        self._process = f"{self._peer} {kernel.started_at_ms}"
         self._transport = kernel.get(Transport)
         self._follower = kernel.get(Follower)
         self._knowledge = kernel.get(Knowledge)
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.logs import PartLog
 from roadlift.decisions.balancing import MAX_RETRY_FILL
 from roadlift.decisions.inactivity import InactivityMonitor
@@ -52,7 +52,7 @@
     seconds: float
 
 
-@parts.register("placing")
+@components.register("placing")
 class Placing:
     """What this process knows of loaded adapters, and asks for."""
 
@@ -74,7 +74,7 @@
         self._subscription = kernel.get(Subscription)
         self._services = kernel.get(ServiceLoads)
         self._limits = kernel.get(EndpointLimits)
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._residency = self._knowledge.residency
         self._homes = Homes()
         self._loading = LoadWaits()
--- a/roadlift/instance/platform.py
+++ b/roadlift/instance/platform.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from roadlift.core.errors import ImproperlyConfigured
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.serving.interfaces import adapters
 
 
@@ -25,7 +25,7 @@
         importlib.import_module(path.name)
 
 
-@parts.register("platform")
+@components.register("platform")
 class Platform:
     """The platform's adapter, and this process's client of its store."""
 
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.decisions.balancing import (
     LOADS_MAX_AGE,
     NO_LOAD,
@@ -34,7 +34,7 @@
     heard_at: float
 
 
-@parts.register("serviceloads")
+@components.register("serviceloads")
 class ServiceLoads:
     """The loads of plain services."""
 
@@ -47,7 +47,7 @@
         self._own: dict[str, LocalLoad] = {}
         self._members: dict[str, _Teller] = {}
         self._others: dict[str, _Teller] = {}
-        self.spread = ServiceBalancer(self._zone, random.Random(kernel.stamp))
+        self.spread = ServiceBalancer(self._zone, random.Random(kernel.started_at_ms))
 
     def start(self) -> None:
         """Do nothing; calls come later."""
--- a/roadlift/instance/sharing.py
+++ b/roadlift/instance/sharing.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from roadlift.core.codec import read_fields
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.core.loop import Timer
 from roadlift.daemon.transport import Transport
 from roadlift.instance.allowances import Allowances
@@ -38,7 +38,7 @@
     heard_at: float
 
 
-@parts.register("sharing")
+@components.register("sharing")
 class SharedUse:
     """The tellings of what is shared, as an instance or as an aggregator."""
 
@@ -88,7 +88,9 @@
             self._tell_aggregator(now)
             return
         uses = self._allowances.list_own()
-        self._allowances.fleet.record_member(self._peer, self._kernel.stamp, uses, now)
+        self._allowances.fleet.record_member(
+            self._peer, self._kernel.started_at_ms, uses, now
+        )
         self._services.record_member(self._peer, self._services.list_own())
         self._tell_others(now)
         states = self._allowances.fleet.describe(self._peer, now)
@@ -110,7 +112,7 @@
     def _send(
         self, address: str, uses: list, services: list, at: float, is_leaving: bool
     ) -> None:
-        process = self._kernel.stamp
+        process = self._kernel.started_at_ms
         message = InstanceUse(self._peer, process, uses, services, at, is_leaving)
         self._transport.send(address, message)
 
@@ -122,7 +124,7 @@
         fleet.update_others(others, now)
         totals = InstanceTotals(
             self._peer,
-            self._kernel.stamp,
+            self._kernel.started_at_ms,
             fleet.count_members(),
             [list(use) for use in fleet.list_totals()],
             [list(load) for load in self._services.list_sums()],
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -4,7 +4,7 @@
 subscribers as well; any other hears an aggregator.
 """
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.transport import Transport
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
@@ -19,7 +19,7 @@
 TICK = 0.1  # Seconds between looks at what is to be told.
 
 
-@parts.register("subscription")
+@components.register("subscription")
 class Subscription:
     """The way between this process and the owners."""
 
--- a/standins/faulty.py
+++ b/standins/faulty.py
@@ -10,7 +10,7 @@
 import socket
 import sys
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon import main as daemon
 from roadlift.daemon.members import Members
 from roadlift.daemon.transport import Transport
@@ -22,7 +22,7 @@
 blocked: set[str] = set()
 
 
-@parts.register("faults")
+@components.register("faults")
 class Faults:
     """Drop what crosses a cut."""
 
--- a/tests/steps/product_steps.py
+++ b/tests/steps/product_steps.py
@@ -20,7 +20,7 @@
 from roadlift.conf.settings import SETTINGS, Settings
 from roadlift.core.checks import run_checks
 from roadlift.core.errors import ImproperlyConfigured, Outcome, list_errors
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.metrics import METRICS, Metrics
 from roadlift.policy.eviction import evictors
 from roadlift.policy.routing import routers
@@ -154,7 +154,7 @@
 @when('the {kind} "{name}" is asked for')
 def step_plugin(context, kind, name):
     """Ask a registry."""
-    registry = {"router": routers, "evictor": evictors, "part": parts}[kind]
+    registry = {"router": routers, "evictor": evictors, "part": components}[kind]
     try:
         registry.get(name)
         context.found = "found"
--- a/tests/support/entries.py
+++ b/tests/support/entries.py
@@ -82,7 +82,7 @@
             self.clock,
             self.dialer,
             {"transport": self.transport},
-            stamp=deployment.count_start(),
+            started_at_ms=deployment.count_start(),
         )
         self.suspensions = 0
         self.kernel.open(["ingress"])
@@ -91,7 +91,7 @@
     @property
     def process(self) -> str:
         """Return what tells the runs and suspensions of an instance apart."""
-        return f"{self.name} {self.kernel.stamp} {self.suspensions}"
+        return f"{self.name} {self.kernel.started_at_ms} {self.suspensions}"
 
     def close(self) -> None:
         """End the instance at once."""
