--- a/roadlift/bundles/spread.py
+++ b/roadlift/bundles/spread.py
@@ -17,7 +17,7 @@
 from roadlift.bundles.messages import Announce, Ask, Links, Part
 from roadlift.core.clock import Clock
 from roadlift.core.errors import InvalidBundle
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.ownership.election import rank_instances
 
 READERS = 2  # Instances of an availability zone that read the head row.
@@ -26,7 +26,7 @@
 ASK_AGAIN = 2.0  # Seconds until another peer is asked.
 MOST_LINKS = 64  # Changes given in one message.
 
-log = PartLog("bundles")
+log = ComponentLog("bundles")
 
 
 class Sending(NamedTuple):
--- a/roadlift/core/logs.py
+++ b/roadlift/core/logs.py
@@ -15,15 +15,15 @@
 from absl import logging
 from pythonjsonlogger.json import JsonFormatter
 
-MOST_HELD = 262144  # Bytes of lines that are buffered for standard output.
-FLUSH_PERIOD = 0.1  # Seconds between writes to standard output.
+MAX_BUFFERED = 262144  # Bytes of lines that are buffered for standard output.
+FLUSH_INTERVAL = 0.1  # Seconds between writes to standard output.
 # A pipe that poll reports as writable accepts this many bytes at once.
-MOST_WRITTEN = select.PIPE_BUF
+MAX_WRITE = select.PIPE_BUF
 
 _events = standard.getLogger("roadlift.events")
 
 
-class PartLog:
+class ComponentLog:
     """The log of one component, whose name prefixes every message."""
 
     def __init__(self, part: str) -> None:
@@ -52,13 +52,13 @@
 class LineBuffer(standard.Handler):
     """A bounded buffer of formatted lines for a file descriptor."""
 
-    def __init__(self, fileno: int, max_bytes: int = MOST_HELD) -> None:
+    def __init__(self, fileno: int, max_bytes: int = MAX_BUFFERED) -> None:
         super().__init__()
         self._fileno = fileno
         self._max_bytes = max_bytes
         self._lines = bytearray()
         self.dropped = 0
-        self.dropped_in_all = 0
+        self.total_dropped = 0
 
     def emit(self, record: standard.LogRecord) -> None:
         """Buffer a line, or count it as dropped."""
@@ -75,9 +75,9 @@
 
     def _drop(self, count: int) -> None:
         self.dropped += count
-        self.dropped_in_all += count
+        self.total_dropped += count
 
-    def count_held(self) -> int:
+    def count_buffered(self) -> int:
         """Return the number of buffered bytes."""
         return len(self._lines)
 
@@ -85,7 +85,7 @@
         """Write as much as the descriptor accepts without blocking."""
         while self._lines and self._is_writable():
             try:
-                sent = os.write(self._fileno, self._lines[:MOST_WRITTEN])
+                sent = os.write(self._fileno, self._lines[:MAX_WRITE])
             except BlockingIOError:
                 return
             except OSError:
@@ -133,7 +133,7 @@
 def use_json(instance: str, fileno: int | None = None) -> LineBuffer:
     """Log JSON lines that include the instance's name.
 
-    The caller flushes the buffer every FLUSH_PERIOD seconds.
+    The caller flushes the buffer every FLUSH_INTERVAL seconds.
     """
     buffer = LineBuffer(sys.stdout.fileno() if fileno is None else fileno)
     buffer.setFormatter(_Formatter(instance))
--- a/roadlift/crashes/ledger.py
+++ b/roadlift/crashes/ledger.py
@@ -10,10 +10,10 @@
 
 from roadlift.core.errors import EndsEndpoints
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.crashes import Crashes, CrashEvidence
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
 @components.register("crashledger")
--- a/roadlift/daemon/bundles.py
+++ b/roadlift/daemon/bundles.py
@@ -11,7 +11,7 @@
 from roadlift.bundles.spread import Sending, Spreader
 from roadlift.core.errors import RoadliftError
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.members import Members
 from roadlift.daemon.transport import Transport
 from roadlift.relay.upstream import Address
@@ -19,7 +19,7 @@
 
 HEAR_PERIOD = 0.5  # Seconds between looks at what the heartbeats told.
 
-log = PartLog("bundles")
+log = ComponentLog("bundles")
 
 
 @components.register("store")
--- a/roadlift/daemon/calls.py
+++ b/roadlift/daemon/calls.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.bundles import StorePart
@@ -12,7 +12,7 @@
 from roadlift.idempotency.claims import Claims
 from roadlift.retries.rules import RetryBudget
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
 @components.register("calls")
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -20,7 +20,7 @@
     StreamCut,
 )
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.calls import Calls
@@ -49,7 +49,7 @@
 TURNED_AWAY = (429, 503)  # Statuses with which endpoints ask for rest.
 PASSED_HEADERS = ("content-type", "retry-after")
 
-log = PartLog("exchange")
+log = ComponentLog("exchange")
 
 
 class Call(NamedTuple):
--- a/roadlift/daemon/gateway.py
+++ b/roadlift/daemon/gateway.py
@@ -14,7 +14,7 @@
     UnknownService,
 )
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.exchange import Call, EngineExchange, Exchange, ServiceExchange
 from roadlift.daemon.status import Status
@@ -28,7 +28,7 @@
 KEY_HEADER = "idempotency-key"
 MOST_KEY = 255  # Characters of an idempotency key.
 
-log = PartLog("gateway")
+log = ComponentLog("gateway")
 
 
 @components.register("gateway")
--- a/roadlift/daemon/leaving.py
+++ b/roadlift/daemon/leaving.py
@@ -1,7 +1,7 @@
 """Leave on SIGTERM without cutting off a request."""
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.gateway import Gateway
 from roadlift.daemon.members import Members
 from roadlift.daemon.owners import Owners
@@ -10,7 +10,7 @@
 
 TICK = 0.1  # Seconds.
 
-log = PartLog("leaving")
+log = ComponentLog("leaving")
 
 
 @components.register("leaving")
--- a/roadlift/daemon/main.py
+++ b/roadlift/daemon/main.py
@@ -35,7 +35,7 @@
 }
 FILE_PERIOD = 1.0  # Seconds between looks whether the file of settings changed.
 
-log = logs.PartLog("daemon")
+log = logs.ComponentLog("daemon")
 
 
 class Daemon(Kernel):
@@ -50,7 +50,7 @@
     @handler("started")
     def _on_started(self, *args) -> None:
         if self.lines is not None:
-            self.loop.call_every(logs.FLUSH_PERIOD, self.lines.flush)
+            self.loop.call_every(logs.FLUSH_INTERVAL, self.lines.flush)
         self.loop.call_every(FILE_PERIOD, self._file.look)
         self._open_parts()
         # Circuits sets handlers of its own just before; these go last.
--- a/roadlift/daemon/members.py
+++ b/roadlift/daemon/members.py
@@ -5,7 +5,7 @@
 
 from roadlift.core.errors import EndpointUnreachable, RoadliftError
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.transport import Transport
 from roadlift.membership.detector import Detector, Sending, Timing
 from roadlift.membership.members import Member, State
@@ -17,7 +17,7 @@
 ALONE_SECONDS = 3.0  # Seconds without a roster after which one is alone.
 JOIN_PERIOD = 1.0  # Seconds between tries to join.
 
-log = PartLog("members")
+log = ComponentLog("members")
 
 
 @components.register("members")
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -7,7 +7,7 @@
 from roadlift.bundles.directory import Endpoint
 from roadlift.core.errors import RoadliftError
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.members import Members
 from roadlift.daemon.pins import Pins
@@ -41,7 +41,7 @@
 AGREED_SECONDS = 4.0
 CENSUS_PERIOD = 1.0  # Seconds until a census is asked again.
 
-log = PartLog("owners")
+log = ComponentLog("owners")
 
 
 class OwnedEndpoint:
--- a/roadlift/daemon/rests.py
+++ b/roadlift/daemon/rests.py
@@ -3,10 +3,10 @@
 import random
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.availability import EndpointAvailability
 
-log = PartLog("rests")
+log = ComponentLog("rests")
 
 
 @components.register("rests")
--- a/roadlift/daemon/transport.py
+++ b/roadlift/daemon/transport.py
@@ -13,7 +13,7 @@
 from roadlift.core.codec import Envelope, decode, encode
 from roadlift.core.errors import MalformedMessage, UnknownMessage
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.traffic import RECEIVED, SENT, Traffic
 
 QUEUE = 1000  # Messages held for a peer, or from all of them.
@@ -25,7 +25,7 @@
 MOST_UNKNOWN = 64  # Kinds of messages that are told of as unknown.
 MOST_DRAINED = 500  # Messages taken before other sockets get their turn.
 
-log = PartLog("transport")
+log = ComponentLog("transport")
 
 
 @components.register("transport")
--- a/roadlift/http/server.py
+++ b/roadlift/http/server.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.loop import Loop
 from roadlift.http.connection import Connection, Handler
 from roadlift.http.messages import HttpLimits
@@ -12,7 +12,7 @@
 MOST_ACCEPTED = 64  # Connections accepted before other sockets get a turn.
 SWEEP_PERIOD = 0.25  # Seconds between looks at the time limits.
 
-log = PartLog("http")
+log = ComponentLog("http")
 
 
 class Server:
--- a/roadlift/instance/availabilities.py
+++ b/roadlift/instance/availabilities.py
@@ -10,7 +10,7 @@
 
 from roadlift.core.errors import RoadliftError
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.availability import EndpointAvailability
 from roadlift.instance.follower import Follower
@@ -28,7 +28,7 @@
 NOTICE_INTERVAL = 1.0  # Seconds between two drain notices about one endpoint.
 LOG_INTERVAL = 1.0  # Seconds between two log lines on back-offs of one endpoint.
 
-log = PartLog("standings")
+log = ComponentLog("standings")
 
 
 @components.register("standings")
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -1,7 +1,7 @@
 """Publish the costs of the control plane: messages, bytes, store calls."""
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.traffic import Count, Kind
 from roadlift.daemon.transport import Transport
 from roadlift.instance.metrics import InstanceMetrics
@@ -12,7 +12,7 @@
 # 600 bytes.
 PUBLISH_INTERVAL = 10.0
 
-log = PartLog("control")
+log = ComponentLog("control")
 
 
 @components.register("control")
--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.crashes.trials import TrialSlots
@@ -15,7 +15,7 @@
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.directory import Endpoint
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
 @components.register("crashes")
--- a/roadlift/instance/crashnews.py
+++ b/roadlift/instance/crashnews.py
@@ -9,7 +9,7 @@
 
 from roadlift.core.errors import MalformedMessage
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.loop import Timer
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.transport import Transport
@@ -29,7 +29,7 @@
 FULL_REPORT_INTERVAL = 2.0
 MAX_EVIDENCE = 200
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
 class CrashSync:
--- a/roadlift/instance/crashrows.py
+++ b/roadlift/instance/crashrows.py
@@ -12,7 +12,7 @@
 
 from roadlift.core.errors import MalformedMessage, RoadliftError, VersionConflict
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.loop import Timer
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.decisions.crashes import MAX_CALLS
@@ -39,7 +39,7 @@
 # finds the row that the owner of the previous zone has written.
 ZONE_DELAY = 0.3
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
 class _KnownRow(NamedTuple):
--- a/roadlift/instance/engine.py
+++ b/roadlift/instance/engine.py
@@ -9,7 +9,7 @@
     RoadliftError,
 )
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.availabilities import Availabilities
 from roadlift.instance.leases import Leases
 from roadlift.instance.metrics import InstanceMetrics
@@ -26,7 +26,7 @@
 REPORT_TIMEOUT = 0.5  # Seconds for the answer to a request for a report.
 REPORT_RETRY_DELAY = 0.3  # Seconds between attempts to read an engine's report.
 
-log = PartLog("owner")
+log = ComponentLog("owner")
 
 
 class OwnedEngine:
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -15,7 +15,7 @@
     StreamCut,
 )
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import DETECTION_DELAY
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.decisions.limits import Basis
@@ -59,7 +59,7 @@
 _PROMISES = (408, 421, 429, 503)
 _EVENT_STREAM = "text/event-stream"
 
-log = PartLog("exchange")
+log = ComponentLog("exchange")
 
 
 class Exchange:
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -8,7 +8,7 @@
 
 from roadlift.core.errors import InvalidConfiguration, MalformedMessage
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
@@ -57,7 +57,7 @@
 POLL_PART = 0.15
 OLD_PART = 0.45
 
-log = PartLog("follower")
+log = ComponentLog("follower")
 
 
 @components.register("follower")
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -10,7 +10,7 @@
     RoadliftError,
 )
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.draining.drain import Drain, Phase
 from roadlift.http.connection import Connection
@@ -47,7 +47,7 @@
 # each.
 SAMPLE = 20
 
-log = PartLog("ingress")
+log = ComponentLog("ingress")
 
 
 @components.register("ingress")
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -5,7 +5,7 @@
 
 from roadlift.core.errors import MalformedMessage, RoadliftError, VersionConflict
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.transport import Transport
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
@@ -42,7 +42,7 @@
 # Seconds in which one that was offered a lease looks for it at each tick.
 HURRY_PERIOD = 1.0
 
-log = PartLog("leases")
+log = ComponentLog("leases")
 
 
 class ToldOwner(NamedTuple):
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -11,7 +11,7 @@
 
 from roadlift.core.errors import InvalidLimit
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.limits import NO_BASIS, Basis, MinimumRate, normalize_limit
 from roadlift.decisions.rates import Rate
 from roadlift.instance.follower import Follower
@@ -35,7 +35,7 @@
 TRIAL_DELAY = 0.7
 LOCAL_FENCE = -1  # Fence of the permits that this process granted to itself.
 
-log = PartLog("limits")
+log = ComponentLog("limits")
 
 
 class LimitSource(StrEnum):
--- a/roadlift/instance/metrics.py
+++ b/roadlift/instance/metrics.py
@@ -11,7 +11,7 @@
 
 from roadlift.core.errors import ImproperlyConfigured
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.http.connection import Connection
 from roadlift.http.messages import HttpLimits, Received
 from roadlift.http.server import Server
@@ -302,7 +302,7 @@
 )
 
 
-log = PartLog("measures")
+log = ComponentLog("measures")
 
 
 @components.register("measures")
@@ -362,7 +362,7 @@
         """Return all metrics as text."""
         lines = self._kernel.lines
         if lines is not None:
-            self.set("roadlift_dropped_lines", lines.dropped_in_all)
+            self.set("roadlift_dropped_lines", lines.total_dropped)
         return generate_latest(self._registry)
 
     def handle(self, received: Received, caller: Connection) -> None:
--- a/roadlift/instance/permits.py
+++ b/roadlift/instance/permits.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.limits import (
     GRANT_TTL,
@@ -45,7 +45,7 @@
 # ``patience`` of a message that reports a limit, and requests no permit.
 REPORT_ONLY = -1.0
 
-log = PartLog("limits")
+log = ComponentLog("limits")
 
 
 class PermitCallbacks(NamedTuple):
--- a/roadlift/instance/placing.py
+++ b/roadlift/instance/placing.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from roadlift.core.kernel import Kernel, components
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.balancing import MAX_RETRY_FILL
 from roadlift.decisions.inactivity import InactivityMonitor
 from roadlift.decisions.loading import AdapterSource, GenerationTimes, LoadWaits
@@ -42,7 +42,7 @@
 # asked: signs come each 0.25 s, and through an aggregator as late again.
 SIGN_LIMIT = 0.55
 
-log = PartLog("placing")
+log = ComponentLog("placing")
 
 
 class Rest(NamedTuple):
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -1,7 +1,7 @@
 """Log why requests were refused, bounded under a flood of them."""
 
 from roadlift.core.clock import Clock
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.access import Judgement
 
 # Lines a second for one error. A line costs some 0.1 ms of a processor: a
@@ -9,7 +9,7 @@
 MOST_LINES = 20
 MOST_AGE = 999.0  # Seconds; what was never known is logged as this.
 
-log = PartLog("ingress")
+log = ComponentLog("ingress")
 
 
 class RefusalLog:
--- a/roadlift/instance/served.py
+++ b/roadlift/instance/served.py
@@ -1,7 +1,7 @@
 """Log which adapters calls were served with, as most served calls are not."""
 
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 
 # Seconds between lines. A process that is killed loses the last one, so an
 # adapter that was served counts as unserved for so long at most.
@@ -9,7 +9,7 @@
 # Adapters that one line names: some 4 KB, as many as a busy instance serves.
 MOST_NAMED = 256
 
-log = PartLog("ingress")
+log = ComponentLog("ingress")
 
 
 class ServedAdapters:
--- a/roadlift/instance/sourcestream.py
+++ b/roadlift/instance/sourcestream.py
@@ -5,7 +5,7 @@
 
 from roadlift.core.codec import read_fields
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.core.loop import Timer
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.sources import SOURCE_TIMEOUT, Candidate, Sources
@@ -35,7 +35,7 @@
 # alone; behind them an aggregator passes them on.
 OWN_READ = 1.0
 
-log = PartLog("subscription")
+log = ComponentLog("subscription")
 
 
 class SourceStream:
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -4,7 +4,7 @@
 
 from roadlift.core.errors import HistoryGone, RoadliftError
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreReturn
@@ -14,7 +14,7 @@
 REST_LOOK = 0.2  # Seconds between looks whether an instance has to read again.
 RETRY_PAUSE = 0.2  # Seconds behind a read that failed.
 
-log = PartLog("follower")
+log = ComponentLog("follower")
 
 
 class TableReader:
--- a/roadlift/instance/term.py
+++ b/roadlift/instance/term.py
@@ -1,7 +1,7 @@
 """Manage the engines and the subscribers of one zone as its owner."""
 
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.transport import Transport
 from roadlift.decisions.crashes import WEAK, CrashEvidence
@@ -41,7 +41,7 @@
 # Seconds without a message after which a subscriber is removed.
 SUBSCRIBER_TIMEOUT = 4.0
 
-log = PartLog("owner")
+log = ComponentLog("owner")
 
 
 class Term:
--- a/tests/steps/log_steps.py
+++ b/tests/steps/log_steps.py
@@ -26,7 +26,7 @@
     context.reader, context.writer = os.pipe()
     os.set_blocking(context.reader, False)
     context.buffer = logs.use_json("i-1", context.writer)
-    context.log = logs.PartLog("part")
+    context.log = logs.ComponentLog("part")
     previous = signal.signal(signal.SIGPIPE, signal.SIG_IGN)
 
     def restore():
@@ -110,7 +110,7 @@
 def step_bounded(context, limit):
     """Check the limit, and that lines were dropped."""
     assert context.buffer.dropped > 0
-    assert context.buffer.count_held() <= limit
+    assert context.buffer.count_buffered() <= limit
 
 
 @when("the pipe is read and flushed until it is empty")
