--- a/roadlift/core/traffic.py
+++ b/roadlift/core/traffic.py
@@ -27,8 +27,8 @@
     def __init__(self) -> None:
         self._counts: dict[Kind, Count] = {}
 
-    def note(self, message: object, direction: str, size: int) -> None:
-        """Count a message of ``size`` bytes."""
+    def record(self, message: object, direction: str, size: int) -> None:
+        """Add a message of ``size`` bytes to the counts."""
         kind = Kind(type(message).__name__, direction)
         previous = self._counts.get(kind, Count(0, 0))
         self._counts[kind] = Count(previous.messages + 1, previous.size + size)
--- a/roadlift/daemon/transport.py
+++ b/roadlift/daemon/transport.py
@@ -117,7 +117,7 @@
             return False
         self.bytes_out += len(data)
         self.messages_out += 1
-        self.traffic.note(message, SENT, len(data))
+        self.traffic.record(message, SENT, len(data))
         return True
 
     def _open(self, kind: int) -> zmq.Socket:
@@ -144,7 +144,7 @@
             except MalformedMessage as error:
                 log.warning("A message was dropped: %s.", error)
                 continue
-            self.traffic.note(envelope.message, RECEIVED, len(data))
+            self.traffic.record(envelope.message, RECEIVED, len(data))
             self._dispatch(envelope)
         self._kernel.loop.call_later(0, self._drain)
 
--- a/standins/hub.py
+++ b/standins/hub.py
@@ -97,7 +97,7 @@
         if address != self._address:
             self.bytes_out += len(data)
             self.messages_out += 1
-            self.traffic.note(message, SENT, len(data))
+            self.traffic.record(message, SENT, len(data))
         self._hub.carry(self._name, address, data)
         return True
 
@@ -110,7 +110,7 @@
         """Take a message from the hub."""
         self.bytes_in += len(data)
         envelope = decode(data)
-        self.traffic.note(envelope.message, RECEIVED, len(data))
+        self.traffic.record(envelope.message, RECEIVED, len(data))
         handler = self._handlers.get(type(envelope.message))
         if handler is not None:
             handler(envelope.sender, envelope.message)
