--- a/benchmarks/capacity/control.py
+++ b/benchmarks/capacity/control.py
@@ -29,18 +29,18 @@
 def read_bytes(deployment: Deployment) -> int:
     """Return the bytes that all instances have sent to each other."""
     kernels = deployment.hub.kernels.values()
-    return sum(kernel._parts["transport"].bytes_out for kernel in kernels)
+    return sum(kernel._components["transport"].bytes_out for kernel in kernels)
 
 
 def read_messages(deployment: Deployment) -> int:
     """Return the messages that all instances have sent to each other."""
     kernels = deployment.hub.kernels.values()
-    return sum(kernel._parts["transport"].messages_out for kernel in kernels)
+    return sum(kernel._components["transport"].messages_out for kernel in kernels)
 
 
 def read_store(deployment: Deployment) -> tuple[int, int]:
     """Return the reads and writes that all instances have made."""
-    stores = [k._parts["store"].store for k in deployment.hub.kernels.values()]
+    stores = [k._components["store"].store for k in deployment.hub.kernels.values()]
     return sum(s.reads for s in stores), sum(s.writes for s in stores)
 
 
--- a/standins/hub.py
+++ b/standins/hub.py
@@ -457,7 +457,7 @@
         kernel = self.kernels.get(name)
         if kernel is None:
             return
-        run = lambda: kernel._parts["transport"].receive(data)
+        run = lambda: kernel._components["transport"].receive(data)
         self._run_in(name, run)
 
     def _run_in(self, name: str, run: Callable[[], None]) -> None:
--- a/tests/steps/deployment_steps.py
+++ b/tests/steps/deployment_steps.py
@@ -297,7 +297,7 @@
     """Start an instance to which no roster gets through at first."""
     deployment, hub = context.deployment, context.deployment.hub
     kernel = hub.start("entry-a9", "zone-a")
-    transport = kernel._parts["transport"]
+    transport = kernel._components["transport"]
     receive, opens = transport.receive, hub.clock.now() + seconds
 
     def hear(data: bytes) -> None:
--- a/tests/steps/growth_steps.py
+++ b/tests/steps/growth_steps.py
@@ -134,7 +134,7 @@
     deployment.hub.advance(30.0)
     rest = read_bytes(deployment) - rest
     store, before = read_store(deployment), read_bytes(deployment)
-    reads_of_victim = deployment.hub.kernels[victim]._parts["store"].store.reads
+    reads_of_victim = deployment.hub.kernels[victim]._components["store"].store.reads
     deployment.hub.kill(victim)
     deployment.hub.advance(30.0)
     after = read_store(deployment)
--- a/tests/steps/membership_steps.py
+++ b/tests/steps/membership_steps.py
@@ -90,7 +90,10 @@
 def _read_costs(deployment):
     costs = {}
     for name, kernel in deployment.hub.kernels.items():
-        transport, store = kernel._parts["transport"], kernel._parts["store"].store
+        transport, store = (
+            kernel._components["transport"],
+            kernel._components["store"].store,
+        )
         costs[name] = (transport.bytes_out, store.reads, store.writes)
     return costs
 
