--- a/roadlift/store/__init__.py
+++ b/roadlift/store/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the platform: its table service and its object store."""
+"""Provide clients for the platform's table service and object store."""
--- a/roadlift/store/client.py
+++ b/roadlift/store/client.py
@@ -1,10 +1,10 @@
 """Read and write rows and objects over HTTP.
 
-Rows are met by RFC 9110's conditional requests: a row's ETag is its version,
-``If-None-Match: *`` inserts if absent, ``If-Match`` compares and sets. The
-daemon uses ``LoopStore`` on its loop; the command-line tool ``DirectStore``.
-A failure of either is PlatformUnavailable, after which nobody knows whether
-a write took effect, or VersionConflict, after which it did not.
+Rows are accessed with the conditional requests of RFC 9110: a row's ETag is
+its version, ``If-None-Match: *`` inserts if absent, ``If-Match`` compares and
+sets. The daemon uses ``LoopStore`` on its event loop, the command-line tool
+``DirectStore``. Both fail with PlatformUnavailable, after which it is unknown
+whether a write took effect, or VersionConflict, after which it did not.
 """
 
 import http.client
@@ -30,10 +30,10 @@
 
 
 class Store(Protocol):
-    """The table service and object store, without blocking."""
+    """The non-blocking interface of the table service and object store."""
 
     def read_row(self, key: str, on_row: OnRow, on_error: OnError) -> None:
-        """Read a row; an absent one is a row too."""
+        """Read a row; an absent one has version ABSENT."""
 
     def write_row(
         self, key: str, value: bytes, expected: str, on_row: OnRow, on_error: OnError
@@ -71,7 +71,7 @@
 
 
 def read_answer(answer: Answer) -> Row:
-    """Turn an answer of the platform into a row, or raise its failure."""
+    """Parse an answer of the platform into a row, or raise its error."""
     if answer.status == 404:
         return Row(b"", ABSENT)
     if answer.status == 412:
@@ -82,7 +82,7 @@
 
 
 class LoopStore:
-    """The platform's stores as met by the daemon; counts its calls."""
+    """Non-blocking client for the daemon; counts its reads and writes."""
 
     def __init__(self, dialer: Dialer, address: Address, timeout: float) -> None:
         self._dialer = dialer
@@ -92,7 +92,7 @@
         self.writes = 0
 
     def read_row(self, key: str, on_row: OnRow, on_error: OnError) -> None:
-        """Read a row; an absent one is a row too."""
+        """Read a row; an absent one has version ABSENT."""
         self.reads += 1
         self._call(build_read(key), on_row, on_error)
 
@@ -117,7 +117,7 @@
 
     def _call(self, request: Request, on_row: OnRow, on_error: OnError) -> None:
         def receive(answer: Answer) -> None:
-            """Turn the answer into a row or a failure."""
+            """Pass the row or the error of the answer to the caller."""
             try:
                 row = read_answer(answer)
             except RoadliftError as error:
@@ -126,20 +126,20 @@
             on_row(row)
 
         def fail(error: RoadliftError) -> None:
-            """Tell that nobody knows of the call."""
+            """Report that the result of the call is unknown."""
             on_error(PlatformUnavailable(str(error)))
 
         fetch(self._dialer, self._address, request, receive, fail, self._timeout)
 
 
 class BlockingStore:
-    """The platform's stores for a caller that may wait.
+    """The blocking interface of the platform's stores.
 
-    A subclass has ``_call``, which sends a request and returns its row.
+    A subclass defines ``_call``, which sends a request and returns its row.
     """
 
     def read_row(self, key: str) -> Row:
-        """Read a row; an absent one is a row too."""
+        """Read a row; an absent one has version ABSENT."""
         return self._call(build_read(key))
 
     def write_row(self, key: str, value: bytes, expected: str) -> Row:
@@ -159,7 +159,7 @@
 
 
 class DirectStore(BlockingStore):
-    """The platform's stores as met by the command-line tool."""
+    """Blocking HTTP client for the command-line tool."""
 
     def __init__(self, address: Address, timeout: float = 5.0) -> None:
         self._address = address
@@ -170,7 +170,7 @@
 
 
 def call_directly(address: Address, request: Request, timeout: float) -> Answer:
-    """Send one request and wait; raise PlatformUnavailable on failure."""
+    """Send a request and block; raise PlatformUnavailable on failure."""
     connection = http.client.HTTPConnection(*address, timeout=timeout)
     try:
         connection.request(request.method, request.path, request.body, request.headers)
