--- a/roadlift/store/client.py
+++ b/roadlift/store/client.py
@@ -70,7 +70,7 @@
     return Request("PUT", f"/objects/{digest}", {}, value)
 
 
-def read_answer(answer: Answer) -> Row:
+def parse_answer(answer: Answer) -> Row:
     """Parse an answer of the platform into a row, or raise its error."""
     if answer.status == 404:
         return Row(b"", ABSENT)
@@ -119,7 +119,7 @@
         def receive(answer: Answer) -> None:
             """Pass the row or the error of the answer to the caller."""
             try:
-                row = read_answer(answer)
+                row = parse_answer(answer)
             except RoadliftError as error:
                 on_error(error)
                 return
@@ -166,7 +166,7 @@
         self._timeout = timeout
 
     def _call(self, request: Request) -> Row:
-        return read_answer(call_directly(self._address, request, self._timeout))
+        return parse_answer(call_directly(self._address, request, self._timeout))
 
 
 def call_directly(address: Address, request: Request, timeout: float) -> Answer:
--- a/tests/support/stores.py
+++ b/tests/support/stores.py
@@ -2,7 +2,7 @@
 
 from roadlift.core.errors import PlatformUnavailable, RoadliftError
 from roadlift.relay.upstream import Answer, Request
-from roadlift.store.client import BlockingStore, Row, read_answer
+from roadlift.store.client import BlockingStore, Row, parse_answer
 from standins.http import Received
 from standins.platform import Platform
 
@@ -33,7 +33,7 @@
         if reply.status == 0:
             raise PlatformUnavailable("outage")
         found = {name.lower(): text for name, text in reply.headers.items()}
-        return read_answer(Answer(reply.status, found, reply.body))
+        return parse_answer(Answer(reply.status, found, reply.body))
 
 
 class LateStore:
