--- a/roadlift/core/events.py
+++ b/roadlift/core/events.py
@@ -96,7 +96,10 @@
         "An endpoint is new, or accepts calls again.",
     ),
     Event(
-        "follower", "history_gone", ("table", "era", "version"), "All rows are read."
+        "follower",
+        "history_gone",
+        ("table", "era", "version"),
+        "All rows are read again.",
     ),
     Event(
         "follower",
