--- a/roadlift/daemon/calls.py
+++ b/roadlift/daemon/calls.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.daemon.bundles import StorePart
@@ -12,10 +12,10 @@
 from roadlift.idempotency.claims import Claims
 from roadlift.retries.rules import RetryBudget
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
-@parts.register("calls")
+@components.register("calls")
 class Calls:
     """The retry budget, the claims, the ends and the calls at services."""
 
--- a/roadlift/daemon/gateway.py
+++ b/roadlift/daemon/gateway.py
@@ -13,8 +13,8 @@
     UnknownPath,
     UnknownService,
 )
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.exchange import Call, EngineExchange, Exchange, ServiceExchange
 from roadlift.daemon.status import Status
@@ -28,10 +28,10 @@
 KEY_HEADER = "idempotency-key"
 MOST_KEY = 255  # Characters of an idempotency key.
 
-log = PartLog("gateway")
+log = ComponentLog("gateway")
 
 
-@parts.register("gateway")
+@components.register("gateway")
 class Gateway:
     """What takes callers' requests, apart from the sockets."""
 
--- a/roadlift/daemon/owners.py
+++ b/roadlift/daemon/owners.py
@@ -6,8 +6,8 @@
 
 from roadlift.bundles.directory import Endpoint
 from roadlift.core.errors import RoadliftError
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.members import Members
 from roadlift.daemon.pins import Pins
@@ -47,7 +47,7 @@
 AGREED_SECONDS = 4.0
 CENSUS_PERIOD = 1.0  # Seconds until a census is asked again.
 
-log = PartLog("owners")
+log = ComponentLog("owners")
 
 
 class OwnedEndpoint:
@@ -74,7 +74,7 @@
             self.fills += 1
 
 
-@parts.register("owners")
+@components.register("owners")
 class Owners:
     """The endpoints that this process owns."""
 
--- a/roadlift/daemon/transport.py
+++ b/roadlift/daemon/transport.py
@@ -12,8 +12,8 @@
 
 from roadlift.core.codec import Envelope, decode, encode
 from roadlift.core.errors import MalformedMessage, UnknownMessage
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.core.traffic import RECEIVED, SENT, Traffic
 
 QUEUE = 1000  # Messages held for a peer, or from all of them.
@@ -25,10 +25,10 @@
 MOST_UNKNOWN = 64  # Kinds of messages that are told of as unknown.
 MOST_DRAINED = 500  # Messages taken before other sockets get their turn.
 
-log = PartLog("transport")
+log = ComponentLog("transport")
 
 
-@parts.register("transport")
+@components.register("transport")
 class Transport:
     """The sockets between this process and its peers."""
 
@@ -117,7 +117,7 @@
             return False
         self.bytes_out += len(data)
         self.messages_out += 1
-        self.traffic.note(message, SENT, len(data))
+        self.traffic.record(message, SENT, len(data))
         return True
 
     def _open(self, kind: int) -> zmq.Socket:
@@ -144,7 +144,7 @@
             except MalformedMessage as error:
                 log.warning("A message was dropped: %s.", error)
                 continue
-            self.traffic.note(envelope.message, RECEIVED, len(data))
+            self.traffic.record(envelope.message, RECEIVED, len(data))
             self._dispatch(envelope)
         self._kernel.loop.call_later(0, self._drain)
 
--- a/roadlift/instance/access.py
+++ b/roadlift/instance/access.py
@@ -12,7 +12,7 @@
     StaleConfiguration,
     UnknownKey,
 )
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.instance.allowances import Allowances, CurrentUse
 from roadlift.instance.follower import Follower
 from roadlift.instance.metrics import InstanceMetrics
@@ -105,7 +105,7 @@
         self._access.count(self.organisation, outcome)
 
 
-@parts.register("access")
+@components.register("access")
 class Access:
     """Authorizes calls by keys, the configuration's age and allowances."""
 
--- a/roadlift/instance/allowances.py
+++ b/roadlift/instance/allowances.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.instance.follower import Follower
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.organisations.fleet import MIN_DEMAND, FleetState, FleetUse, Use
@@ -35,7 +35,7 @@
     update_age: float
 
 
-@parts.register("allowances")
+@components.register("allowances")
 class Allowances:
     """The use of organisations' allowances by this process's calls."""
 
--- a/roadlift/instance/control.py
+++ b/roadlift/instance/control.py
@@ -1,7 +1,7 @@
 """Publish the costs of the control plane: messages, bytes, store calls."""
 
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.core.traffic import Count, Kind
 from roadlift.daemon.transport import Transport
 from roadlift.instance.metrics import InstanceMetrics
@@ -12,10 +12,10 @@
 # 600 bytes.
 PUBLISH_INTERVAL = 10.0
 
-log = PartLog("control")
+log = ComponentLog("control")
 
 
-@parts.register("control")
+@components.register("control")
 class ControlCosts:
     """Publishes the counters of other components, and their increments."""
 
--- a/roadlift/instance/crashes.py
+++ b/roadlift/instance/crashes.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.crashes.detection import CrashDetector, EndpointCrash
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.crashes.trials import TrialSlots
@@ -15,10 +15,10 @@
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.serving.directory import Endpoint
 
-log = PartLog("crashes")
+log = ComponentLog("crashes")
 
 
-@parts.register("crashes")
+@components.register("crashes")
 class CrashMonitor:
     """Crashes of endpoints that this process detects by its local calls."""
 
--- a/roadlift/instance/follower.py
+++ b/roadlift/instance/follower.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Iterable
 
 from roadlift.core.errors import InvalidConfiguration, MalformedMessage
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.instance.tablereader import TableReader
@@ -59,10 +59,10 @@
 POLL_WAIT_FRACTION = 0.15
 MAX_AGE_FRACTION = 0.45
 
-log = PartLog("follower")
+log = ComponentLog("follower")
 
 
-@parts.register("follower")
+@components.register("follower")
 class Follower:
     """What this instance knows of the platform's state."""
 
--- a/roadlift/instance/leases.py
+++ b/roadlift/instance/leases.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from roadlift.core.errors import MalformedMessage, RoadliftError, VersionConflict
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.daemon.transport import Transport
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
@@ -45,7 +45,7 @@
 # Seconds for which an instance that was offered a lease checks it each tick.
 OFFER_TTL = 1.0
 
-log = PartLog("leases")
+log = ComponentLog("leases")
 
 
 class ReportedOwner(NamedTuple):
@@ -55,7 +55,7 @@
     fence: int
 
 
-@parts.register("leases")
+@components.register("leases")
 class Leases:
     """The leases of all zones, as far as this process knows them.
 
@@ -71,7 +71,7 @@
         self._kernel = kernel
         self._store = kernel.get(Platform).store
         self._measures = kernel.get(InstanceMetrics)
-        self._process = f"{settings.instance}#{kernel.stamp}"
+        self._process = f"{settings.instance}#{kernel.started_at_ms}"
         self._zones = sorted({settings.zone, *filter(None, settings.zones.split(","))})
         quiet = settings.holder_quiet_ms / 1000.0
         self._leases = {
@@ -202,7 +202,7 @@
 
     def _compute_acquire_delay(self, zone: str) -> float:
         """Return how long this process lets others acquire a zone's lease."""
-        jitter = (self._kernel.stamp % 1000) / 1000.0 * MAX_JITTER
+        jitter = (self._kernel.started_at_ms % 1000) / 1000.0 * MAX_JITTER
         if self._kernel.settings.link_mbps < MIN_OWNER_LINK_MBPS:
             jitter += SLOW_LINK_DELAY
         if zone == self._kernel.settings.zone:
--- a/roadlift/instance/limits.py
+++ b/roadlift/instance/limits.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from roadlift.core.errors import InvalidLimit
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.limits import NO_BASIS, Basis, MinimumRate, normalize_limit
 from roadlift.decisions.rates import Rate
 from roadlift.instance.follower import Follower
@@ -35,7 +35,7 @@
 TRIAL_DELAY = 0.7
 LOCAL_FENCE = -1  # Fence of the permits that this process granted to itself.
 
-log = PartLog("limits")
+log = ComponentLog("limits")
 
 
 class LimitSource(StrEnum):
@@ -122,7 +122,7 @@
         self.announcements = 0
 
 
-@parts.register("limits")
+@components.register("limits")
 class EndpointLimits:
     """The rate limits of endpoints that this process observes."""
 
@@ -131,7 +131,7 @@
 
     def __init__(self, kernel: Kernel) -> None:
         self._clock = kernel.clock
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._follower = kernel.get(Follower)
         self._metrics = kernel.get(InstanceMetrics)
         self._known: dict[str, KnownLimit] = {}
--- a/roadlift/instance/metrics.py
+++ b/roadlift/instance/metrics.py
@@ -10,8 +10,8 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from roadlift.core.errors import ImproperlyConfigured
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.http.connection import Connection
 from roadlift.http.messages import HttpLimits, Received
 from roadlift.http.server import Server
@@ -302,10 +302,10 @@
 )
 
 
-log = PartLog("measures")
+log = ComponentLog("measures")
 
 
-@parts.register("measures")
+@components.register("measures")
 class InstanceMetrics:
     """The metrics of this process, and their address if one is set."""
 
@@ -362,7 +362,7 @@
         """Return all metrics as text."""
         lines = self._kernel.lines
         if lines is not None:
-            self.set("roadlift_dropped_lines", lines.dropped_in_all)
+            self.set("roadlift_dropped_lines", lines.total_dropped)
         return generate_latest(self._registry)
 
     def handle(self, received: Received, caller: Connection) -> None:
--- a/roadlift/instance/placement.py
+++ b/roadlift/instance/placement.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
-from roadlift.core.logs import PartLog
+from roadlift.core.kernel import Kernel, components
+from roadlift.core.logs import ComponentLog
 from roadlift.decisions.balancing import MAX_RETRY_FILL
 from roadlift.decisions.inactivity import InactivityMonitor
 from roadlift.decisions.loading import AdapterSource, GenerationTimes, LoadWaits
@@ -44,7 +44,7 @@
 # adds up to as much again.
 OWNER_INACTIVITY_TIMEOUT = 0.55
 
-log = PartLog("placing")
+log = ComponentLog("placing")
 
 
 class Backoff(NamedTuple):
@@ -54,7 +54,7 @@
     seconds: float
 
 
-@parts.register("placing")
+@components.register("placing")
 class Placement:
     """Chooses endpoints for calls and keeps this process's pending loads."""
 
@@ -76,7 +76,7 @@
         self._subscription = kernel.get(Subscription)
         self._service_loads = kernel.get(ServiceLoads)
         self._limits = kernel.get(EndpointLimits)
-        self._rng = random.Random(kernel.stamp)
+        self._rng = random.Random(kernel.started_at_ms)
         self._residency = self._knowledge.residency
         self._preferred_endpoints = PreferredEndpoints()
         self._load_waits = LoadWaits()
--- a/roadlift/instance/refusals.py
+++ b/roadlift/instance/refusals.py
@@ -1,7 +1,7 @@
 """Log why requests were refused, with a bounded number of lines."""
 
 from roadlift.core.clock import Clock
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.access import AccessState
 
 # Lines a second for each error code. A line costs about 0.1 ms of processor
@@ -10,7 +10,7 @@
 MAX_LINES = 20
 MAX_AGE = 999.0  # Seconds; logged for what was never known.
 
-log = PartLog("ingress")
+log = ComponentLog("ingress")
 
 
 class RefusalLog:
--- a/roadlift/instance/served.py
+++ b/roadlift/instance/served.py
@@ -4,7 +4,7 @@
 """
 
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 
 # Seconds between lines. A process that is killed loses its last line, so that
 # an adapter that was served counts as unserved for at most this time.
@@ -12,7 +12,7 @@
 # Adapters that one line names: about 4 KB, as many as a busy instance serves.
 MAX_NAMES = 256
 
-log = PartLog("ingress")
+log = ComponentLog("ingress")
 
 
 class ServedAdapters:
--- a/roadlift/instance/serviceloads.py
+++ b/roadlift/instance/serviceloads.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.decisions.balancing import (
     LOADS_MAX_AGE,
     NO_LOAD,
@@ -34,7 +34,7 @@
     received_at: float
 
 
-@parts.register("serviceloads")
+@components.register("serviceloads")
 class ServiceLoads:
     """The loads of plain services."""
 
@@ -47,7 +47,7 @@
         self._local: dict[str, LocalLoad] = {}
         self._members: dict[str, _Report] = {}
         self._aggregators: dict[str, _Report] = {}
-        self.balancer = ServiceBalancer(self._zone, random.Random(kernel.stamp))
+        self.balancer = ServiceBalancer(self._zone, random.Random(kernel.started_at_ms))
 
     def start(self) -> None:
         """Nothing to start; the work is done for each call."""
--- a/roadlift/instance/subscription.py
+++ b/roadlift/instance/subscription.py
@@ -5,7 +5,7 @@
 messages with an aggregator.
 """
 
-from roadlift.core.kernel import Kernel, parts
+from roadlift.core.kernel import Kernel, components
 from roadlift.daemon.transport import Transport
 from roadlift.instance.knowledge import Knowledge
 from roadlift.instance.leases import Leases
@@ -20,7 +20,7 @@
 CHECK_INTERVAL = 0.1  # Seconds between checks for reports that are due.
 
 
-@parts.register("subscription")
+@components.register("subscription")
 class Subscription:
     """Exchanges reports and updates with the owners or with an aggregator."""
 
--- a/roadlift/instance/tablereader.py
+++ b/roadlift/instance/tablereader.py
@@ -4,7 +4,7 @@
 
 from roadlift.core.errors import HistoryGone, RoadliftError
 from roadlift.core.kernel import Kernel
-from roadlift.core.logs import PartLog
+from roadlift.core.logs import ComponentLog
 from roadlift.instance.metrics import InstanceMetrics
 from roadlift.instance.platform import Platform
 from roadlift.serving.eras import StoreRestore
@@ -15,7 +15,7 @@
 PAUSE_CHECK_INTERVAL = 0.2
 RETRY_DELAY = 0.2  # Seconds between a failed read and the next one.
 
-log = PartLog("follower")
+log = ComponentLog("follower")
 
 
 class TableReader:
--- a/tests/steps/deployment_steps.py
+++ b/tests/steps/deployment_steps.py
@@ -299,7 +299,7 @@
     """Start an instance that receives no roster at first."""
     deployment, hub = context.deployment, context.deployment.hub
     kernel = hub.start("entry-a9", "zone-a")
-    transport = kernel._parts["transport"]
+    transport = kernel._components["transport"]
     receive, opens = transport.receive, hub.clock.now() + seconds
 
     def receive_late(data: bytes) -> None:
