--- a/roadlift/relay/caller.py
+++ b/roadlift/relay/caller.py
@@ -1,4 +1,4 @@
-"""Describe what an answer is written to, whatever carries it."""
+"""The interface to which answers are written, whatever the transport."""
 
 from collections.abc import Callable, Mapping
 from typing import Protocol
@@ -7,10 +7,11 @@
 
 
 class Caller(Protocol):
-    """What an answer is written to.
+    """The sending side of a caller's connection.
 
-    ``on_gone`` is called once if the caller goes away before the answer is
-    whole; ``on_drained`` each time the held bytes fall below the low mark.
+    ``on_gone`` is called once if the caller disconnects before the answer is
+    complete; ``on_drained`` each time the buffered bytes fall below the
+    low-water mark.
     """
 
     started: bool
@@ -19,27 +20,27 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the sender should pause."""
+        """Return whether the sender should pause."""
 
     def write_head(
         self, status: int, headers: Mapping[str, str], length: int | None = None
     ) -> None:
-        """Write the status line and headers; no length means chunked."""
+        """Write the status line and headers; without a length, use chunks."""
 
     def write(self, data: bytes) -> None:
         """Write body bytes."""
 
     def finish(self) -> None:
-        """End the answer as whole."""
+        """Mark the answer as complete."""
 
     def answer(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
-        """Write a whole answer at once."""
+        """Write a complete answer at once."""
 
     def answer_error(self, error: RoadliftError, headers: Mapping[str, str]) -> None:
         """Write a typed error, as an answer or as a stream's last event."""
 
     def end_early(self) -> None:
-        """Close behind what was written, without the end of a whole answer."""
+        """Close after the written bytes, leaving the answer truncated."""
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once."""
--- a/roadlift/relay/pool.py
+++ b/roadlift/relay/pool.py
@@ -1,10 +1,10 @@
-"""Keep connections to endpoints and stores between their calls.
+"""Pool idle connections to endpoints and stores for reuse.
 
-A kept connection that the far side closes as a request is written leaves that
-request in doubt. So a connection is kept for less time than the far side
-says, it is dropped as soon as anything arrives on it, and it is looked at
-once more before it is used; a request that must not run twice asks for one
-that was used a moment ago, or for a new one.
+If the server closes an idle connection while a request is written to it, the
+client cannot know whether the request ran. So a connection is kept for less
+time than the server announces, it is closed as soon as anything arrives on
+it, and it is checked again before it is reused. A request that must not run
+twice accepts only a recently used connection, or a new one.
 """
 
 import socket
@@ -16,10 +16,12 @@
 if TYPE_CHECKING:
     from roadlift.relay.upstream import Address
 
-KEEP = 4.0  # Seconds that a connection is kept where the far side says nothing.
-MARGIN = 1.0  # Seconds before the far side's limit at which it is dropped.
-MOST_KEPT = 64  # Idle connections to one address.
-SWEEP_PERIOD = 0.5  # Seconds between looks for connections kept too long.
+# Seconds that an idle connection is kept at most, also where the server
+# announces no limit or a longer one.
+KEEP = 4.0
+MARGIN = 1.0  # Seconds before the server's limit at which it is closed.
+MOST_KEPT = 64  # Idle connections per address.
+SWEEP_PERIOD = 0.5  # Seconds between checks for expired connections.
 
 
 class Channel:
@@ -35,7 +37,7 @@
         self.keep_until = 0.0
 
     def is_quiet(self) -> bool:
-        """Tell whether nothing has arrived, not even the far side's close."""
+        """Return whether no input is pending, neither data nor a close."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -46,20 +48,24 @@
 
 
 class Pool:
-    """The idle connections of a process, newest first."""
+    """The idle connections of a process; the last used is reused first."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._idle: dict[Address, deque[Channel]] = {}
-        self._is_swept = False
+        self._is_sweep_scheduled = False
 
-    def take(self, address: "Address", most_idle: float) -> Channel | None:
-        """Return a connection idle for at most ``most_idle`` seconds."""
+    def take(self, address: "Address", max_idle: float) -> Channel | None:
+        """Return a connection idle for at most ``max_idle`` seconds, if any.
+
+        A newer connection is tried first; those that expired or received input
+        are closed.
+        """
         idle = self._idle.get(address)
         now = self._loop.clock.now()
         while idle:
             channel = idle[-1]
-            if now - channel.idle_since > most_idle:
+            if now - channel.idle_since > max_idle:
                 return None
             idle.pop()
             self._loop.unwatch(channel.socket.fileno())
@@ -69,7 +75,10 @@
         return None
 
     def give(self, channel: Channel, keep: float | None) -> None:
-        """Keep a connection; ``keep`` is the far side's limit in seconds."""
+        """Return a connection to the pool, or close it if it cannot be kept.
+
+        ``keep`` is the server's idle limit in seconds, if it announced one.
+        """
         now = self._loop.clock.now()
         seconds = KEEP if keep is None else min(KEEP, keep - MARGIN)
         idle = self._idle.setdefault(channel.address, deque())
@@ -81,8 +90,8 @@
         channel.keep_until = now + seconds
         idle.append(channel)
         self._loop.watch(channel.socket.fileno(), lambda: self._drop(channel))
-        if not self._is_swept:
-            self._is_swept = True
+        if not self._is_sweep_scheduled:
+            self._is_sweep_scheduled = True
             self._loop.call_later(SWEEP_PERIOD, self._sweep)
 
     def forget(self, address: "Address") -> None:
@@ -96,7 +105,7 @@
             self.forget(address)
 
     def _drop(self, channel: Channel) -> None:
-        """Close a connection on which something arrived between calls."""
+        """Close a connection that received data or a close while idle."""
         idle = self._idle.get(channel.address, ())
         if channel in idle:
             idle.remove(channel)
@@ -113,6 +122,6 @@
                 self._close(idle.popleft())
             if not idle:
                 del self._idle[address]
-        self._is_swept = bool(self._idle)
-        if self._is_swept:
+        self._is_sweep_scheduled = bool(self._idle)
+        if self._is_sweep_scheduled:
             self._loop.call_later(SWEEP_PERIOD, self._sweep)
--- a/roadlift/relay/upstream.py
+++ b/roadlift/relay/upstream.py
@@ -1,9 +1,9 @@
 """Send HTTP requests to endpoints and stores.
 
-A call whose connection was refused wrote no byte and did not run; a call that
-wrote one is in doubt until it is answered. A request says whether a kept
-connection may carry it (see roadlift/relay/pool.py); by default each takes a
-connection of its own.
+If the connection was refused, no byte was written and the call did not run.
+Once a byte was written, whether the call ran is unknown until it is answered.
+A request states whether it may reuse an idle connection (see
+roadlift/relay/pool.py); by default each opens a new one.
 """
 
 import errno
@@ -25,27 +25,30 @@
 from roadlift.http.messages import add_header, has_token
 from roadlift.relay.pool import Channel, Pool
 
-READ_SIZE = 65536  # Bytes taken from a socket at once.
-# Milliseconds that bytes may stay unacknowledged until their connection is
-# lost: behind a cut nothing else tells. A link that loses 3 of 100 packets
-# loses three sends in a row, at 0, 200 and 600 ms, once in 37,000 times.
+READ_SIZE = 65536  # Bytes read from a socket at most at once.
+# Milliseconds that sent bytes may stay unacknowledged before the connection
+# counts as lost; on a partitioned network nothing else reveals the loss. A
+# link that loses 3 of 100 packets loses three transmissions in a row, at 0,
+# 200 and 600 ms, once in 37,000 times.
 UNACKNOWLEDGED_LIMIT = 700
-KEEP_ALIVE = 1  # Seconds of silence until a connection is probed, each second.
-KEEP_ALIVE_PROBES = 2  # Probes without an answer that a connection bears.
+# Seconds of inactivity before the first TCP keep-alive probe, and between
+# probes.
+KEEP_ALIVE = 1
+KEEP_ALIVE_PROBES = 2  # Unanswered probes after which a connection is lost.
 _IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK)
 _BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")
 _BODILESS_STATUSES = (204, 304)
 
 
 class Address(NamedTuple):
-    """An IP number and a port."""
+    """An IPv4 address and a port."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Read ``host:port``; raise ValueError where it is not one."""
+        """Parse ``host:port``; raise ValueError if it is malformed."""
         host, _, port = text.rpartition(":")
         socket.inet_aton(host) if host.count(".") == 3 else _reject(text)
         return cls(host, int(port))
@@ -55,17 +58,18 @@
 
 
 def _reject(text: str) -> None:
-    raise ValueError(f"{text!r} is not an IP number with a port")
+    raise ValueError(f"{text!r} is not an IPv4 address with a port")
 
 
 class Request(NamedTuple):
-    """An HTTP request towards an endpoint or store, and how it is sent.
-
-    ``kept_for`` is how many seconds a connection may have been idle that
-    carries the request; 0 takes a new one and closes it after the answer.
-    ``echo`` is a header that the answer has to repeat, in lower case, with
-    its value: an answer with another value belongs to another request and is
-    skipped. ``may_send`` is asked right before the first byte is written.
+    """An HTTP request to an endpoint or store, and how it is sent.
+
+    ``kept_for`` is the number of seconds for which a reused connection may
+    have been idle; 0 opens a new one and closes it after the answer.
+    ``echo`` is a header, its name in lower case, and the value that the
+    answer must repeat: an answer with another value belongs to another
+    request and is skipped. ``may_send`` is called right before the first byte
+    is written; if it returns false, the request is not sent.
     """
 
     method: str
@@ -79,7 +83,7 @@
     connect_timeout: float | None = None
 
     def encode(self, address: str) -> bytes:
-        """Return the bytes of the request for ``address``."""
+        """Return the request as bytes; ``address`` is the default host."""
         lines = [f"{self.method} {self.path} HTTP/1.1", f"Host: {self.host or address}"]
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         if self.body or self.method not in _BODILESS_METHODS:
@@ -90,7 +94,7 @@
 
 
 def _set_options(sock: socket.socket) -> None:
-    """Send small pieces at once, and notice a path that is cut."""
+    """Disable send coalescing and detect partitioned connections."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_NODELAY, 1),
@@ -103,26 +107,26 @@
 
 
 class Receiver(Protocol):
-    """What takes the answer of a call, as it arrives."""
+    """Receives the answer of a call as it arrives."""
 
     def receive_head(self, status: int, headers: dict[str, str]) -> None:
-        """Take the status and the headers, their names in lower case."""
+        """Handle the status and the headers, with names in lower case."""
 
     def receive_body(self, data: bytes) -> None:
-        """Take body bytes, once for each read from the socket."""
+        """Handle body bytes; called once for each read from the socket."""
 
     def receive_end(self) -> None:
-        """Learn that the answer is whole."""
+        """Handle the end of a complete answer."""
 
     def receive_error(self, error: RoadliftError) -> None:
-        """Learn that the call ended without a whole answer."""
+        """Handle a call that ended without a complete answer."""
 
 
 class Call:
     """One request in flight; ``start`` opens it and ``close`` cancels it.
 
-    ``timeout`` is in seconds; a call fails once nothing has come for between
-    one and two of it.
+    ``timeout`` is in seconds; a call fails after between one and two timeouts
+    without input.
     """
 
     def __init__(
@@ -143,21 +147,21 @@
         self._channel: Channel | None = None
         self._socket: socket.socket | None = None
         self._timer = None
-        self._out = memoryview(request.encode(str(address)))
+        self._unsent = memoryview(request.encode(str(address)))
         self._parser = httptools.HttpResponseParser(self)
         self._headers: dict[str, str] = {}
         self._status = 0
         self._chunks: list[bytes] = []
-        self._whole = False
+        self._is_complete = False
         self._is_skipping = False
-        self._is_spoilt = False
+        self._is_unusable = False
         self._ends_with_close = False
-        self._reading = True
+        self._is_reading = True
         self._has_progress = False
         self.written = False
 
     def start(self) -> None:
-        """Take or open a connection; failures reach the receiver later."""
+        """Reuse or open a connection; failures reach the receiver later."""
         self._channel = self._pool.take(self._address, self._request.kept_for)
         if self._channel is None:
             self._connect()
@@ -167,7 +171,7 @@
         self._loop.watch(self._socket.fileno(), self._on_readable, self._on_writable)
 
     def close(self) -> None:
-        """Cancel the call; the far side sees the connection close."""
+        """Cancel the call by closing its connection."""
         if self._timer is not None:
             self._timer.close()
         if self._socket is not None:
@@ -176,13 +180,13 @@
             self._socket = None
 
     def pause(self) -> None:
-        """Stop reading, so that the far side feels back-pressure."""
-        self._reading = False
+        """Stop reading, which puts back-pressure on the server."""
+        self._is_reading = False
         self._update_watch()
 
     def resume(self) -> None:
-        """Read again after a pause."""
-        self._reading = True
+        """Resume reading after a pause."""
+        self._is_reading = True
         self._update_watch()
 
     # The connection.
@@ -196,39 +200,39 @@
         self._timer = self._loop.call_later(wait, self._on_timeout)
         code = self._socket.connect_ex(self._address)
         if code and code not in _IN_PROGRESS:
-            self._loop.call_later(0, lambda: self._fail(_judge_connect(code)))
+            self._loop.call_later(0, lambda: self._fail(_classify_connect_error(code)))
             return
         self._loop.watch(self._socket.fileno(), None, self._on_writable)
 
     def _update_watch(self) -> None:
         if self._socket is None:
             return
-        on_read = self._on_readable if self._reading else None
-        on_write = self._on_writable if self._out else None
+        on_read = self._on_readable if self._is_reading else None
+        on_write = self._on_writable if self._unsent else None
         self._loop.watch(self._socket.fileno(), on_read, on_write)
 
     def _on_writable(self) -> None:
-        if self._socket is None or not self._out:
+        if self._socket is None or not self._unsent:
             return
-        if not self.written and not self._begin_write():
+        if not self.written and not self._prepare_send():
             return
         try:
-            sent = self._socket.send(self._out)
+            sent = self._socket.send(self._unsent)
         except BlockingIOError:
             return
         except OSError as error:
-            self._fail(self._judge_loss(error))
+            self._fail(self._classify_loss(error))
             return
         self.written = self.written or sent > 0
-        self._out = self._out[sent:]
+        self._unsent = self._unsent[sent:]
         self._update_watch()
 
-    def _begin_write(self) -> bool:
-        """Check the new connection, and that the request may still be sent."""
+    def _prepare_send(self) -> bool:
+        """Check a new connection, and that the request may still be sent."""
         if self._channel.is_new:
             code = self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                self._fail(_judge_connect(code))
+                self._fail(_classify_connect_error(code))
                 return False
             self._timer.close()
             self._timer = self._loop.call_later(self._timeout, self._on_timeout)
@@ -237,7 +241,7 @@
             return False
         return True
 
-    def _judge_loss(self, error: OSError | None = None) -> RoadliftError:
+    def _classify_loss(self, error: OSError | None = None) -> RoadliftError:
         detail = error.strerror if error else "closed early"
         if self.written:
             return ConnectionLost(detail)
@@ -251,33 +255,33 @@
         except BlockingIOError:
             return
         except OSError as error:
-            self._fail(self._judge_loss(error))
+            self._fail(self._classify_loss(error))
             return
         if not data:
-            self._on_end_of_input()
+            self._on_eof()
             return
         self._has_progress = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # What follows a whole answer belongs to no request.
-            self._is_spoilt = True
-            if not self._whole:
-                self._pass_body()
-                self._fail(ConnectionLost(f"answer is not HTTP: {error}"))
+            # Bytes after a complete answer belong to no request.
+            self._is_unusable = True
+            if not self._is_complete:
+                self._deliver_body()
+                self._fail(ConnectionLost(f"malformed HTTP answer: {error}"))
                 return
-        self._pass_body()
+        self._deliver_body()
 
-    def _on_end_of_input(self) -> None:
+    def _on_eof(self) -> None:
         if self._ends_with_close and not self._is_skipping:
-            self._whole = self._is_spoilt = True
-            self._pass_body()
+            self._is_complete = self._is_unusable = True
+            self._deliver_body()
             return
-        self._fail(self._judge_loss())
+        self._fail(self._classify_loss())
 
     def _on_timeout(self) -> None:
-        if self._has_progress or not self._reading:
-            # Looking again once a timeout is cheaper than a timer a chunk.
+        if self._has_progress or not self._is_reading:
+            # One check per timeout is cheaper than a new timer per chunk.
             self._has_progress = False
             self._timer = self._loop.call_later(self._timeout, self._on_timeout)
         elif self.written:
@@ -291,54 +295,54 @@
         self.close()
         self._receiver.receive_error(error)
 
-    # The answer, from the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one behind the whole answer spoils the channel."""
-        if self._whole:
-            self._is_spoilt = True
+        """Begin an answer; a second one makes the channel unusable."""
+        if self._is_complete:
+            self._is_unusable = True
             return
         self._headers = {}
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
-        if not self._whole:
+        """Add a header."""
+        if not self._is_complete:
             lowered = name.decode("latin-1").lower()
             add_header(self._headers, lowered, value.decode("latin-1"))
 
     def on_headers_complete(self) -> None:
-        """Pass the head on, if it answers this request."""
+        """Deliver the head if it answers this request."""
         status = self._parser.get_status_code()
-        if self._whole or status < 200:
+        if self._is_complete or status < 200:
             return
         self._status = status
         headers = self._headers
-        self._is_skipping = not self._is_ours(status, headers)
+        self._is_skipping = not self._matches_request(status, headers)
         has_length = "content-length" in headers or "transfer-encoding" in headers
         self._ends_with_close = not has_length and status not in _BODILESS_STATUSES
         if self._is_skipping:
-            self._is_spoilt = True
+            self._is_unusable = True
             return
         self._receiver.receive_head(status, headers)
         if self._request.method == "HEAD":
-            self._whole = self._is_spoilt = True
+            self._is_complete = self._is_unusable = True
 
     def on_body(self, data: bytes) -> None:
-        """Take the bytes of one chunk."""
-        if not self._whole and not self._is_skipping:
+        """Buffer a piece of the body."""
+        if not self._is_complete and not self._is_skipping:
             self._chunks.append(data)
 
     def on_message_complete(self) -> None:
-        """Learn that an answer is whole."""
+        """Record the end of an answer that is neither interim nor skipped."""
         is_interim = self._parser.get_status_code() < 200
         if not is_interim and not self._is_skipping:
-            self._whole = True
+            self._is_complete = True
 
-    def _is_ours(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Tell whether an answer repeats what this request sent.
+    def _matches_request(self, status: int, headers: Mapping[str, str]) -> bool:
+        """Return whether an answer repeats the ``echo`` header of the request.
 
-        A refusal without the header is taken, as an endpoint that refuses
-        early may not have read so far.
+        An error status without the header is accepted, since an endpoint that
+        rejects early may not have read the header.
         """
         if self._request.echo is None:
             return True
@@ -346,22 +350,22 @@
         default = "" if status < 400 else expected
         return headers.get(name, default) == expected
 
-    def _pass_body(self) -> None:
+    def _deliver_body(self) -> None:
         if self._socket is None:
             return
         if self._chunks:
             data = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
             self._chunks.clear()
             self._receiver.receive_body(data)
-        if self._whole and self._socket is not None:
+        if self._is_complete and self._socket is not None:
             self._release()
             self._receiver.receive_end()
 
     def _release(self) -> None:
-        """Keep the connection for another call, where it is clean."""
+        """Return the connection to the pool if it can be reused."""
         is_closing = has_token(self._headers.get("connection", ""), "close")
         is_kept = self._request.kept_for and not is_closing
-        if not is_kept or self._is_spoilt or self._out:
+        if not is_kept or self._is_unusable or self._unsent:
             self.close()
             return
         self._timer.close()
@@ -370,14 +374,14 @@
         self._pool.give(self._channel, read_keep_alive(self._headers))
 
 
-def _judge_connect(code: int) -> EndpointUnreachable:
-    """Return the failure that an error of a new connection stands for."""
+def _classify_connect_error(code: int) -> EndpointUnreachable:
+    """Return the exception for a socket error of a new connection."""
     kind = ConnectionRefused if code == errno.ECONNREFUSED else EndpointUnreachable
     return kind(errno.errorcode.get(code, ""))
 
 
 def read_keep_alive(headers: Mapping[str, str]) -> float | None:
-    """Return how many seconds the far side keeps an idle connection."""
+    """Return the seconds for which the server keeps idle connections."""
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -386,7 +390,7 @@
 
 
 class Answer(NamedTuple):
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: dict[str, str]
@@ -394,7 +398,10 @@
 
 
 class WholeAnswer:
-    """A receiver that gathers a bounded answer and passes it on once."""
+    """A receiver that collects an answer and delivers it once complete.
+
+    Body bytes beyond ``limit`` are dropped.
+    """
 
     def __init__(
         self,
@@ -410,27 +417,27 @@
         self._body = bytearray()
 
     def receive_head(self, status: int, headers: dict[str, str]) -> None:
-        """Keep the head."""
+        """Store the head."""
         self._status = status
         self._headers = headers
 
     def receive_body(self, data: bytes) -> None:
-        """Gather the body up to the limit."""
+        """Append to the body, up to the limit."""
         self._body += data[: self._limit - len(self._body)]
 
     def receive_end(self) -> None:
-        """Pass the whole answer on."""
+        """Deliver the complete answer."""
         self._on_answer(Answer(self._status, self._headers, bytes(self._body)))
 
     def receive_error(self, error: RoadliftError) -> None:
-        """Pass the failure on."""
+        """Deliver the failure."""
         self._on_error(error)
 
 
 class Line(Protocol):
-    """A call in flight, as its receiver holds it.
+    """A handle on a call in flight.
 
-    ``written`` tells whether a byte of the request was written.
+    ``written`` is true once a byte of the request was written.
     """
 
     written: bool
@@ -439,23 +446,23 @@
         """Cancel the call."""
 
     def pause(self) -> None:
-        """Stop reading the answer for a while."""
+        """Stop reading the answer until ``resume``."""
 
     def resume(self) -> None:
-        """Read the answer again."""
+        """Resume reading the answer."""
 
 
 class Dialer(Protocol):
-    """What opens calls; tests put endpoints in memory behind it."""
+    """Opens calls; tests substitute endpoints in memory."""
 
     def open(
         self, address: Address, request: Request, receiver: Receiver, timeout: float
     ) -> Line:
-        """Start a call whose answer the receiver gets, never at once."""
+        """Start a call; the receiver is never called before this returns."""
 
 
 class SocketDialer:
-    """Opens calls on sockets, kept ones where the request allows it."""
+    """Opens calls on sockets; reuses idle ones if the request allows it."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -464,7 +471,7 @@
     def open(
         self, address: Address, request: Request, receiver: Receiver, timeout: float
     ) -> Call:
-        """Start a call whose answer the receiver gets."""
+        """Start a call that delivers its answer to the receiver."""
         call = Call(self._loop, address, request, receiver, timeout, self.pool)
         call.start()
         return call
@@ -478,5 +485,5 @@
     on_error: Callable[[RoadliftError], None],
     timeout: float,
 ) -> Line:
-    """Start a call that gathers its whole answer, and return it."""
+    """Start a call that collects its complete answer; return its handle."""
     return dialer.open(address, request, WholeAnswer(on_answer, on_error), timeout)
--- a/tests/relay/upstream.feature
+++ b/tests/relay/upstream.feature
@@ -1,6 +1,6 @@
-Feature: Answers of endpoints are framed strictly, and belong to their requests
+Feature: Answers of endpoints are parsed strictly and matched to requests
 
-  Scenario Outline: Each framing is read, whole and byte by byte
+  Scenario Outline: Each framing is parsed, at once and byte by byte
     Given an endpoint and a call to it
     When it answers "<answer>" <how> and then <end>
     Then the call <result>
@@ -33,7 +33,7 @@
       | another id              | at once      | closes   | fails as connection_lost having read ""    |
       | no id                   | at once      | closes   | fails as connection_lost having read ""    |
 
-  Scenario Outline: A connection is kept only where it is clean
+  Scenario Outline: A connection is reused only after a clean answer
     Given an endpoint and a call to it
     When it answers "<answer>" at once and then waits
     And <seconds> seconds pass and another call is made
@@ -47,12 +47,12 @@
       | with a short keep-alive  | 0       | the same   |
       | with a short keep-alive  | 1.5     | a new      |
       | and closes               | 0       | a new      |
-      | an extra answer behind   | 0       | a new      |
-      | junk behind              | 0       | a new      |
+      | with an extra answer     | 0       | a new      |
+      | followed by junk         | 0       | a new      |
       | another id and its own   | 0       | a new      |
       | before the body was read | 0       | a new      |
 
-  Scenario Outline: What happens between calls ends a kept connection
+  Scenario Outline: Input or a close between calls discards an idle connection
     Given an endpoint and a call to it
     When it answers "with a length" at once and then waits
     And the endpoint then <does>, and another call is made
@@ -64,7 +64,7 @@
       | resets               |
       | sends a late answer  |
 
-  Scenario Outline: A call that is not answered ends at its time limit
+  Scenario Outline: A call without an answer fails after its timeout
     Given an endpoint and a call to it
     When it answers "<answer>" at once and then waits
     And <seconds> seconds pass
@@ -72,25 +72,25 @@
 
     Examples:
       | answer           | seconds | result                                     |
-      | nothing          | 4       | goes on                                    |
+      | nothing          | 4       | is still open                              |
       | nothing          | 6       | fails as request_timeout having read ""    |
       | half of a length | 11      | fails as request_timeout having read "ab"  |
 
-  Scenario: Nobody listens
-    Given an endpoint that is gone and a call to it
+  Scenario: No server listens at the address
+    Given an endpoint that no longer listens and a call to it
     Then the call fails as endpoint_unreachable having read ""
 
-  Scenario: The right to send ends before the first byte
+  Scenario: Permission to send is revoked before the first byte
     Given an endpoint and a call that may not be sent
     Then the call fails as sending_revoked having read ""
-    And the endpoint has read nothing
+    And the endpoint has received nothing
 
   Scenario: A cancelled call closes its connection
     Given an endpoint and a call to it
     When the call is closed
-    Then the endpoint sees its connection end
+    Then the connection at the endpoint is closed
 
-  Scenario: A paused call feels back-pressure
+  Scenario: A paused call puts back-pressure on the endpoint
     Given an endpoint and a call to it
-    When the call is paused and the endpoint writes 64 MiB as it can
-    Then less than 16 MiB leave the endpoint
+    When the call is paused and the endpoint writes up to 64 MiB
+    Then the endpoint can write less than 16 MiB
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -1,4 +1,4 @@
-"""Steps on calls to endpoints, by a raw far side."""
+"""Steps for calls to endpoints, with a server on a raw socket."""
 
 from behave import given, then, when
 
@@ -6,36 +6,36 @@
 from tests.support.sockets import Endpoint, read_all
 
 _ID = b"X-Call: c1\r\n"
-_OWN = b"HTTP/1.1 200 OK\r\n" + _ID + b"Content-Length: 3\r\n\r\nabc"
-_OTHER = b"HTTP/1.1 200 OK\r\nX-Call: c0\r\nContent-Length: 2\r\n\r\nzz"
+_MATCHING_ANSWER = b"HTTP/1.1 200 OK\r\n" + _ID + b"Content-Length: 3\r\n\r\nabc"
+_OTHER_ANSWER = b"HTTP/1.1 200 OK\r\nX-Call: c0\r\nContent-Length: 2\r\n\r\nzz"
 _CHUNKED = b"HTTP/1.1 200 OK\r\n" + _ID + b"Transfer-Encoding: chunked\r\n"
 ANSWERS = {
     "nothing": b"",
-    "with a length": _OWN,
+    "with a length": _MATCHING_ANSWER,
     "in chunks": _CHUNKED + b"\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
     "until its close": b"HTTP/1.1 200 OK\r\n" + _ID + b"\r\nabc",
-    "half of a length": _OWN[:-1],
+    "half of a length": _MATCHING_ANSWER[:-1],
     "chunks without an end": _CHUNKED + b"\r\n3\r\nabc\r\n",
     "half a chunk": _CHUNKED + b"\r\n3\r\nab",
     "half a head": b"HTTP/1.1 200 OK\r\nX-C",
     "without content": b"HTTP/1.1 204 No Content\r\n" + _ID + b"\r\n",
-    "an interim answer first": b"HTTP/1.1 102 Processing\r\n\r\n" + _OWN,
+    "an interim answer first": b"HTTP/1.1 102 Processing\r\n\r\n" + _MATCHING_ANSWER,
     "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n"
     b"\r\nabc",
     "a length beside chunks": _CHUNKED + b"Content-Length: 3\r\n\r\n0\r\n\r\n",
     "bytes that are not HTTP": b"SSH-2.0-x\r\n",
     "a refusal without an id": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-    "another id and its own": _OTHER + _OWN,
-    "another id": _OTHER,
+    "another id and its own": _OTHER_ANSWER + _MATCHING_ANSWER,
+    "another id": _OTHER_ANSWER,
     "no id": b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc",
     "with a short keep-alive": b"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=2\r\n"
-    + _OWN[17:],
-    "and closes": b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + _OWN[17:],
-    "an extra answer behind": _OWN + _OTHER,
-    "junk behind": _OWN + b"\x00\x01junk",
-    "before the body was read": _OWN,
+    + _MATCHING_ANSWER[17:],
+    "and closes": b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + _MATCHING_ANSWER[17:],
+    "with an extra answer": _MATCHING_ANSWER + _OTHER_ANSWER,
+    "followed by junk": _MATCHING_ANSWER + b"\x00\x01junk",
+    "before the body was read": _MATCHING_ANSWER,
 }
-_BIG_BODY = b"x" * (16 << 20)  # More than the sockets' buffers hold.
+_BIG_BODY = b"x" * (16 << 20)  # More than the socket buffers hold.
 
 
 def _request(body: bytes = b"", may_send=None) -> Request:
@@ -59,13 +59,13 @@
 
 @given("an endpoint and a call to it")
 def step_call(context):
-    """Start a call, and let its request arrive."""
+    """Start a call and wait until its request arrives."""
     _start(context)
 
 
-@given("an endpoint that is gone and a call to it")
+@given("an endpoint that no longer listens and a call to it")
 def step_gone(context):
-    """Call where nobody listens."""
+    """Start a call to an address at which no server listens."""
     gone = Endpoint()
     address = gone.address
     gone.close()
@@ -76,13 +76,13 @@
 
 @given("an endpoint and a call that may not be sent")
 def step_revoked(context):
-    """Start a call whose guard says no."""
+    """Start a call whose ``may_send`` returns false."""
     _start(context, _request(may_send=lambda: False))
 
 
 @when('it answers "{answer}" {how} and then {end}')
 def step_answer(context, answer, how, end):
-    """Write an answer, at once or in bytes, and end as told."""
+    """Write an answer, at once or byte by byte, and end as given."""
     if answer == "before the body was read":
         context.call, context.recorder = context.endpoint.open(_request(_BIG_BODY))
     context.endpoint.reply(ANSWERS[answer], how == "byte by byte")
@@ -92,7 +92,7 @@
 
 @when("{seconds:g} seconds pass and another call is made")
 def step_another(context, seconds):
-    """Make a call some time after the first."""
+    """Make another call some time after the first."""
     if seconds:
         context.endpoint.driver.advance(seconds)
     context.count = len(context.endpoint.accepted)
@@ -101,9 +101,9 @@
 
 @when("the endpoint then {does}, and another call is made")
 def step_between(context, does):
-    """Spoil the kept connection, and call again."""
+    """Make the idle connection unusable, and call again."""
     if does == "sends a late answer":
-        context.endpoint.accepted[-1].send(_OTHER)
+        context.endpoint.accepted[-1].send(_OTHER_ANSWER)
     else:
         context.endpoint.end("reset" if does == "resets" else "close")
     step_another(context, 0)
@@ -116,9 +116,9 @@
     context.endpoint.settle()
 
 
-@when("the call is paused and the endpoint writes 64 MiB as it can")
+@when("the call is paused and the endpoint writes up to 64 MiB")
 def step_flood(context):
-    """Write as much as the sockets take."""
+    """Write as much as the socket buffers accept."""
     context.call.pause()
     sock = context.endpoint.accepted[-1]
     sock.send(b"HTTP/1.1 200 OK\r\n" + _ID + b"Content-Length: 67108864\r\n\r\n")
@@ -133,7 +133,7 @@
 
 @then('the call gets {status:d} "{body}"')
 def step_got(context, status, body):
-    """Check a whole answer."""
+    """Check a complete answer."""
     assert context.recorder.is_whole, context.recorder.error
     assert context.recorder.status == status
     assert context.recorder.body.decode() == body
@@ -141,7 +141,7 @@
 
 @then('the call gets {status:d} ""')
 def step_got_empty(context, status):
-    """Check a whole answer without a body."""
+    """Check a complete answer without a body."""
     step_got(context, status, "")
 
 
@@ -149,7 +149,7 @@
 def step_failed(context, code, body):
     """Check a failure, and what was read before it."""
     assert not context.recorder.is_whole
-    assert context.recorder.error is not None, "the call goes on"
+    assert context.recorder.error is not None, "the call is still open"
     assert context.recorder.error.code == code, context.recorder.error
     assert context.recorder.body.decode() == body
 
@@ -160,34 +160,34 @@
     step_failed(context, code, "")
 
 
-@then("the call goes on")
+@then("the call is still open")
 def step_goes_on(context):
-    """Check that nothing has ended."""
+    """Check that the call neither completed nor failed."""
     assert not context.recorder.is_whole and context.recorder.error is None
 
 
 @then("the other call uses {which} connection")
 def step_connection(context, which):
-    """Check whether the far side has accepted anew."""
+    """Check whether the server has accepted another connection."""
     accepted = len(context.endpoint.accepted) - context.count
     assert accepted == (1 if which == "a new" else 0), accepted
-    context.endpoint.reply(_OWN, False)
+    context.endpoint.reply(_MATCHING_ANSWER, False)
     assert context.recorder.body == b"abc" and context.recorder.is_whole
 
 
-@then("the endpoint has read nothing")
+@then("the endpoint has received nothing")
 def step_unread(context):
     """Check that no byte was sent."""
     assert read_all(context.endpoint.accepted[-1])[0] == b""
 
 
-@then("the endpoint sees its connection end")
+@then("the connection at the endpoint is closed")
 def step_ended(context):
-    """Check that the far side learns of the cancel."""
+    """Check that the server sees the connection close."""
     assert read_all(context.endpoint.accepted[-1])[1]
 
 
-@then("less than 16 MiB leave the endpoint")
+@then("the endpoint can write less than 16 MiB")
 def step_bounded(context):
-    """Check that nothing but the sockets' buffers was filled."""
+    """Check that only the socket buffers were filled."""
     assert context.written < 16 << 20 and context.recorder.body == b""
