--- a/roadlift/relay/pool.py
+++ b/roadlift/relay/pool.py
@@ -18,25 +18,26 @@
 
 # Seconds that an idle connection is kept at most, also where the server
 # announces no limit or a longer one.
-KEEP = 4.0
-MARGIN = 1.0  # Seconds before the server's limit at which it is closed.
-MOST_KEPT = 64  # Idle connections per address.
-SWEEP_PERIOD = 0.5  # Seconds between checks for expired connections.
+MAX_IDLE_SECONDS = 4.0
+# Seconds before the server's limit at which a connection is closed.
+KEEP_ALIVE_MARGIN = 1.0
+MAX_IDLE_PER_ADDRESS = 64  # Idle connections per address.
+SWEEP_INTERVAL = 0.5  # Seconds between checks for expired connections.
 
 
 class Channel:
     """A connected socket that carries one call at a time."""
 
-    __slots__ = ("address", "idle_since", "is_new", "keep_until", "socket")
+    __slots__ = ("address", "idle_since", "is_new", "reusable_until", "socket")
 
     def __init__(self, address: "Address", sock: socket.socket) -> None:
         self.address = address
         self.socket = sock
         self.is_new = True
         self.idle_since = 0.0
-        self.keep_until = 0.0
+        self.reusable_until = 0.0
 
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """Return whether no input is pending, neither data nor a close."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
@@ -47,7 +48,7 @@
         return False
 
 
-class Pool:
+class ConnectionPool:
     """The idle connections of a process; the last used is reused first."""
 
     def __init__(self, loop: Loop) -> None:
@@ -55,7 +56,7 @@
         self._idle: dict[Address, deque[Channel]] = {}
         self._is_sweep_scheduled = False
 
-    def take(self, address: "Address", max_idle: float) -> Channel | None:
+    def acquire(self, address: "Address", max_idle: float) -> Channel | None:
         """Return a connection idle for at most ``max_idle`` seconds, if any.
 
         A newer connection is tried first; those that expired or received input
@@ -69,32 +70,36 @@
                 return None
             idle.pop()
             self._loop.unwatch(channel.socket.fileno())
-            if now < channel.keep_until and channel.is_quiet():
+            if now < channel.reusable_until and channel.has_no_input():
                 return channel
             channel.socket.close()
         return None
 
-    def give(self, channel: Channel, keep: float | None) -> None:
+    def release(self, channel: Channel, keep: float | None) -> None:
         """Return a connection to the pool, or close it if it cannot be kept.
 
         ``keep`` is the server's idle limit in seconds, if it announced one.
         """
         now = self._loop.clock.now()
-        seconds = KEEP if keep is None else min(KEEP, keep - MARGIN)
+        seconds = (
+            MAX_IDLE_SECONDS
+            if keep is None
+            else min(MAX_IDLE_SECONDS, keep - KEEP_ALIVE_MARGIN)
+        )
         idle = self._idle.setdefault(channel.address, deque())
-        if seconds <= 0 or len(idle) >= MOST_KEPT:
+        if seconds <= 0 or len(idle) >= MAX_IDLE_PER_ADDRESS:
             channel.socket.close()
             return
         channel.is_new = False
         channel.idle_since = now
-        channel.keep_until = now + seconds
+        channel.reusable_until = now + seconds
         idle.append(channel)
         self._loop.watch(channel.socket.fileno(), lambda: self._drop(channel))
         if not self._is_sweep_scheduled:
             self._is_sweep_scheduled = True
-            self._loop.call_later(SWEEP_PERIOD, self._sweep)
+            self._loop.call_later(SWEEP_INTERVAL, self._sweep)
 
-    def forget(self, address: "Address") -> None:
+    def close_idle(self, address: "Address") -> None:
         """Close the idle connections to an address."""
         for channel in self._idle.pop(address, ()):
             self._close(channel)
@@ -102,7 +107,7 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
     def _drop(self, channel: Channel) -> None:
         """Close a connection that received data or a close while idle."""
@@ -118,10 +123,10 @@
     def _sweep(self) -> None:
         now = self._loop.clock.now()
         for address, idle in list(self._idle.items()):
-            while idle and idle[0].keep_until <= now:
+            while idle and idle[0].reusable_until <= now:
                 self._close(idle.popleft())
             if not idle:
                 del self._idle[address]
         self._is_sweep_scheduled = bool(self._idle)
         if self._is_sweep_scheduled:
-            self._loop.call_later(SWEEP_PERIOD, self._sweep)
+            self._loop.call_later(SWEEP_INTERVAL, self._sweep)
--- a/roadlift/relay/upstream.py
+++ b/roadlift/relay/upstream.py
@@ -23,7 +23,7 @@
 )
 from roadlift.core.loop import Loop
 from roadlift.http.messages import add_header, has_token
-from roadlift.relay.pool import Channel, Pool
+from roadlift.relay.pool import Channel, ConnectionPool
 
 READ_SIZE = 65536  # Bytes read from a socket at most at once.
 # Milliseconds that sent bytes may stay unacknowledged before the connection
@@ -136,14 +136,14 @@
         request: Request,
         receiver: Receiver,
         timeout: float,
-        pool: Pool | None = None,
+        pool: ConnectionPool | None = None,
     ) -> None:
         self._loop = loop
         self._address = address
         self._request = request
         self._receiver = receiver
         self._timeout = timeout
-        self._pool = pool or Pool(loop)
+        self._pool = pool or ConnectionPool(loop)
         self._channel: Channel | None = None
         self._socket: socket.socket | None = None
         self._timer = None
@@ -162,7 +162,7 @@
 
     def start(self) -> None:
         """Reuse or open a connection; failures reach the receiver later."""
-        self._channel = self._pool.take(self._address, self._request.kept_for)
+        self._channel = self._pool.acquire(self._address, self._request.kept_for)
         if self._channel is None:
             self._connect()
             return
@@ -371,7 +371,7 @@
         self._timer.close()
         self._loop.unwatch(self._socket.fileno())
         self._socket = None
-        self._pool.give(self._channel, read_keep_alive(self._headers))
+        self._pool.release(self._channel, read_keep_alive(self._headers))
 
 
 def _classify_connect_error(code: int) -> EndpointUnreachable:
@@ -466,7 +466,7 @@
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self.pool = Pool(loop)
+        self.pool = ConnectionPool(loop)
 
     def open(
         self, address: Address, request: Request, receiver: Receiver, timeout: float
