--- a/roadlift/crashes/detection.py
+++ b/roadlift/crashes/detection.py
@@ -6,7 +6,7 @@
 from roadlift.core.errors import ConnectionRefused, RoadliftError
 from roadlift.core.kernel import Kernel
 from roadlift.decisions.crashes import STRONG, WEAK
-from roadlift.relay.upstream import Address, Request, WholeAnswer
+from roadlift.relay.upstream import Address, AnswerCollector, Request
 
 # Seconds from a cut answer until a connection to its endpoint is tried: by
 # then all calls that ran there are cut, and a process that exited no longer
@@ -63,7 +63,7 @@
             "GET", "/", may_send=lambda: False, connect_timeout=CHECK_TIMEOUT
         )
         on_error = lambda error: self._handle_check(endpoint, error)
-        receiver = WholeAnswer(lambda answer: None, on_error)
+        receiver = AnswerCollector(lambda answer: None, on_error)
         self._kernel.dialer.open(address, request, receiver, CHECK_TIMEOUT)
 
     def _handle_check(self, endpoint: str, error: RoadliftError) -> None:
--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -40,7 +40,7 @@
 from roadlift.pins.seeker import Waiter
 from roadlift.pins.table import HeldPin
 from roadlift.relay.caller import Caller
-from roadlift.relay.upstream import Address, Line, Request
+from roadlift.relay.upstream import Address, CallHandle, Request
 from roadlift.retries.rules import may_retry
 from roadlift.serving.identity import compute_identity
 
@@ -94,7 +94,7 @@
         self._claim: Claim | None = None
         self._kept = bytearray() if call.key else None
         self._kept_head: tuple[int, dict[str, str]] = (0, {})
-        self._upstream: Line | None = None
+        self._upstream: CallHandle | None = None
         self._address: Address | None = None
         self._sent_at = 0.0
         self._head: tuple[int, dict[str, str]] | None = None
--- a/roadlift/http/connection.py
+++ b/roadlift/http/connection.py
@@ -146,9 +146,9 @@
             return
         if self._chunked:
             self.write(b"event: error\ndata: " + body + b"\n\n")
-        self.end_early()
+        self.truncate()
 
-    def end_early(self) -> None:
+    def truncate(self) -> None:
         """Close behind what was written, without the end of a whole answer."""
         if self._version != "1.1":
             # The end of the connection is that mark to an HTTP/1.0 caller.
--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -33,7 +33,7 @@
 from roadlift.instance.platform import Platform
 from roadlift.instance.progress import Progress
 from roadlift.relay.caller import Caller
-from roadlift.relay.upstream import Line
+from roadlift.relay.upstream import CallHandle
 from roadlift.serving.calls import Call, Kind, Model
 from roadlift.serving.directory import Endpoint
 from roadlift.serving.identity import identify, identify_load
@@ -110,7 +110,7 @@
         )
         self._identity: bytes | None = None
         self._is_suspect = False
-        self._line: Line | None = None
+        self._line: CallHandle | None = None
         self._endpoint: Endpoint | None = None
         self._excluded: set[str] = set()
         self._is_second_round = False
@@ -148,7 +148,7 @@
         if self._is_over:
             return
         self._drop_line()
-        self._caller.end_early()
+        self._caller.truncate()
         self._end("cut", None)
 
     def withdraw(self, identity: bytes) -> None:
@@ -674,7 +674,7 @@
             error = self._doubt
         self._drop_line()
         if self._caller.started:
-            self._caller.end_early()
+            self._caller.truncate()
         else:
             headers = dict(self._format.describe(self.call.id))
             if error.status in _PROMISES:
--- a/roadlift/relay/caller.py
+++ b/roadlift/relay/caller.py
@@ -39,7 +39,7 @@
     def answer_error(self, error: RoadliftError, headers: Mapping[str, str]) -> None:
         """Write a typed error, as an answer or as a stream's last event."""
 
-    def end_early(self) -> None:
+    def truncate(self) -> None:
         """Close after the written bytes, leaving the answer truncated."""
 
     def close(self) -> None:
--- a/roadlift/relay/upstream.py
+++ b/roadlift/relay/upstream.py
@@ -30,10 +30,10 @@
 # counts as lost; on a partitioned network nothing else reveals the loss. A
 # link that loses 3 of 100 packets loses three transmissions in a row, at 0,
 # 200 and 600 ms, once in 37,000 times.
-UNACKNOWLEDGED_LIMIT = 700
+UNACKNOWLEDGED_TIMEOUT_MS = 700
 # Seconds of inactivity before the first TCP keep-alive probe, and between
 # probes.
-KEEP_ALIVE = 1
+KEEP_ALIVE_INTERVAL = 1
 KEEP_ALIVE_PROBES = 2  # Unanswered probes after which a connection is lost.
 _IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK)
 _BODILESS_METHODS = ("GET", "HEAD", "DELETE", "OPTIONS")
@@ -64,7 +64,7 @@
 class Request(NamedTuple):
     """An HTTP request to an endpoint or store, and how it is sent.
 
-    ``kept_for`` is the number of seconds for which a reused connection may
+    ``max_idle`` is the number of seconds for which a reused connection may
     have been idle; 0 opens a new one and closes it after the answer.
     ``echo`` is a header, its name in lower case, and the value that the
     answer must repeat: an answer with another value belongs to another
@@ -77,7 +77,7 @@
     headers: Mapping[str, str] = {}
     body: bytes = b""
     host: str = ""
-    kept_for: float = 0.0
+    max_idle: float = 0.0
     echo: tuple[str, str] | None = None
     may_send: Callable[[], bool] | None = None
     connect_timeout: float | None = None
@@ -88,7 +88,7 @@
         lines += [f"{name}: {value}" for name, value in self.headers.items()]
         if self.body or self.method not in _BODILESS_METHODS:
             lines.append(f"Content-Length: {len(self.body)}")
-        if not self.kept_for:
+        if not self.max_idle:
             lines.append("Connection: close")
         return "\r\n".join([*lines, "", ""]).encode("latin-1") + self.body
 
@@ -98,9 +98,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_NODELAY, 1),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT),
-        (socket.TCP_KEEPIDLE, KEEP_ALIVE),
-        (socket.TCP_KEEPINTVL, KEEP_ALIVE),
+        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
+        (socket.TCP_KEEPIDLE, KEEP_ALIVE_INTERVAL),
+        (socket.TCP_KEEPINTVL, KEEP_ALIVE_INTERVAL),
         (socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
@@ -162,7 +162,7 @@
 
     def start(self) -> None:
         """Reuse or open a connection; failures reach the receiver later."""
-        self._channel = self._pool.acquire(self._address, self._request.kept_for)
+        self._channel = self._pool.acquire(self._address, self._request.max_idle)
         if self._channel is None:
             self._connect()
             return
@@ -364,14 +364,14 @@
     def _release(self) -> None:
         """Return the connection to the pool if it can be reused."""
         is_closing = has_token(self._headers.get("connection", ""), "close")
-        is_kept = self._request.kept_for and not is_closing
+        is_kept = self._request.max_idle and not is_closing
         if not is_kept or self._is_unusable or self._unsent:
             self.close()
             return
         self._timer.close()
         self._loop.unwatch(self._socket.fileno())
         self._socket = None
-        self._pool.release(self._channel, read_keep_alive(self._headers))
+        self._pool.release(self._channel, parse_keep_alive(self._headers))
 
 
 def _classify_connect_error(code: int) -> EndpointUnreachable:
@@ -380,7 +380,7 @@
     return kind(errno.errorcode.get(code, ""))
 
 
-def read_keep_alive(headers: Mapping[str, str]) -> float | None:
+def parse_keep_alive(headers: Mapping[str, str]) -> float | None:
     """Return the seconds for which the server keeps idle connections."""
     for part in headers.get("keep-alive", "").split(","):
         name, _, value = part.strip().partition("=")
@@ -397,7 +397,7 @@
     body: bytes
 
 
-class WholeAnswer:
+class AnswerCollector:
     """A receiver that collects an answer and delivers it once complete.
 
     Body bytes beyond ``limit`` are dropped.
@@ -434,7 +434,7 @@
         self._on_error(error)
 
 
-class Line(Protocol):
+class CallHandle(Protocol):
     """A handle on a call in flight.
 
     ``written`` is true once a byte of the request was written.
@@ -457,7 +457,7 @@
 
     def open(
         self, address: Address, request: Request, receiver: Receiver, timeout: float
-    ) -> Line:
+    ) -> CallHandle:
         """Start a call; the receiver is never called before this returns."""
 
 
@@ -484,6 +484,6 @@
     on_answer: Callable[[Answer], None],
     on_error: Callable[[RoadliftError], None],
     timeout: float,
-) -> Line:
+) -> CallHandle:
     """Start a call that collects its complete answer; return its handle."""
-    return dialer.open(address, request, WholeAnswer(on_answer, on_error), timeout)
+    return dialer.open(address, request, AnswerCollector(on_answer, on_error), timeout)
--- a/standins/hub.py
+++ b/standins/hub.py
@@ -317,7 +317,7 @@
         self.error = error
         self.error_headers = dict(headers)
 
-    def end_early(self) -> None:
+    def truncate(self) -> None:
         """Note that the answer is cut short."""
         self.is_cut = True
 
--- a/tests/steps/ingress_steps.py
+++ b/tests/steps/ingress_steps.py
@@ -131,7 +131,7 @@
     caller = context.ingress.handler.callers[0]
     caller.write_head(200, {}, None)
     caller.write(b"half")
-    caller.end_early()
+    caller.truncate()
     context.ingress.driver.settle()
 
 
--- a/tests/steps/upstream_steps.py
+++ b/tests/steps/upstream_steps.py
@@ -45,7 +45,7 @@
         "/run",
         headers,
         body,
-        kept_for=2.0,
+        max_idle=2.0,
         echo=("x-call", "c1"),
         may_send=may_send,
     )
