--- a/roadlift/http/__init__.py
+++ b/roadlift/http/__init__.py
@@ -1,1 +1,1 @@
-"""Serve HTTP/1.1 to callers: strict parsing, limits and bounded answers."""
+"""Serve HTTP/1.1 to callers: strict parsing, limits and bounded buffers."""
--- a/roadlift/http/connection.py
+++ b/roadlift/http/connection.py
@@ -1,4 +1,4 @@
-"""Serve one caller's connection: requests in, one answer at a time out."""
+"""Serve a caller's connection, answering one request at a time."""
 
 import json
 import socket
@@ -13,27 +13,29 @@
 from roadlift.http.parser import RequestParser
 
 READ_SIZE = 65536  # Bytes read from a caller at once.
-HIGH_WATER = 131072  # Bytes held for a slow caller before its stream pauses.
-LOW_WATER = 32768  # Bytes held at which the stream goes on.
-MOST_EARLY = 65536  # Bytes of pipelined requests held during an answer.
-# Seconds that a closed connection's input is still read. A close with unread
-# input is a reset, which can destroy the last answer on its way.
+HIGH_WATER = 131072  # Bytes buffered for a slow caller before its stream pauses.
+LOW_WATER = 32768  # Buffered bytes at which the stream resumes.
+MOST_EARLY = 65536  # Pipelined bytes after which reading pauses.
+# Seconds for which input is still read after the writing side was shut down.
+# Closing a socket with unread input sends a reset, which can destroy the last
+# answer before the caller has read it.
 LINGER = 1.0
 _BODILESS = (204, 304)
 
 
 class Handler(Protocol):
-    """What takes the requests of a connection."""
+    """Handles the requests of a connection."""
 
     def handle(self, received: Received, caller: "Connection") -> None:
-        """Take a request; its answer goes to the caller, now or later."""
+        """Handle a request; write its answer to the caller, now or later."""
 
 
 class Connection:
-    """One caller's connection, to which answers are written.
+    """The connection of a caller, to which answers are written.
 
-    ``on_gone`` is called once if the caller goes away before its answer is
-    whole; ``on_drained`` each time the held bytes fall below the low mark.
+    ``on_gone`` is called once if the caller disconnects before its answer is
+    complete; ``on_drained`` each time the buffered bytes fall to the
+    low-water mark.
     """
 
     def __init__(
@@ -50,16 +52,16 @@
         self._limits = limits
         self._on_close = on_close
         self._parser = RequestParser(limits)
-        self._held: deque[memoryview] = deque()
-        self._held_bytes = 0
-        self._early = b""
+        self._buffer: deque[memoryview] = deque()
+        self._buffered_bytes = 0
+        self._pipelined = b""
         self._deadline = loop.clock.now() + limits.idle_timeout
         self._is_answering = False
-        self._is_ending = False
+        self._is_finishing = False
         self._is_lingering = False
-        self._chunked = False
-        self._bodiless = False
-        self._keep = True
+        self._is_chunked = False
+        self._is_bodiless = False
+        self._keep_alive = True
         self._method = ""
         self._version = "1.1"
         self.is_draining = False
@@ -70,15 +72,15 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether the sender should pause."""
-        return self._held_bytes >= HIGH_WATER
+        """Return whether the sender should pause."""
+        return self._buffered_bytes >= HIGH_WATER
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is being read or answered."""
-        return not self._is_answering and self._parser.is_idle and not self._held
+        """Return whether no request is being read or answered."""
+        return not self._is_answering and self._parser.is_idle and not self._buffer
 
-    # The answer.
+    # Writing an answer.
 
     def write_interim(self, status: int) -> None:
         """Write an interim answer, such as 100."""
@@ -87,55 +89,56 @@
     def write_head(
         self, status: int, headers: Mapping[str, str], length: int | None = None
     ) -> None:
-        """Write the status line and headers; no length means chunked."""
+        """Write the status line and headers; without a length, use chunks."""
         self.started = True
-        self._bodiless = self._method == "HEAD" or status in _BODILESS
-        self._chunked = length is None and self._version == "1.1"
+        self._is_bodiless = self._method == "HEAD" or status in _BODILESS
+        self._is_chunked = length is None and self._version == "1.1"
         lines = [f"HTTP/1.1 {status} {get_reason(status)}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         if length is not None:
             if status not in _BODILESS:
                 lines.append(f"Content-Length: {length}")
-        elif self._chunked:
+        elif self._is_chunked:
             lines.append("Transfer-Encoding: chunked")
         else:
-            self._keep = False
+            self._keep_alive = False
         if self.is_draining:
-            self._keep = False
-        if not self._keep:
+            self._keep_alive = False
+        if not self._keep_alive:
             lines.append("Connection: close")
         self._send("\r\n".join([*lines, "", ""]).encode("latin-1"))
 
     def write(self, data: bytes) -> None:
-        """Write body bytes, as one chunk where the answer is chunked."""
-        if not data or self._bodiless:
+        """Write body bytes, as one chunk if the answer is chunked."""
+        if not data or self._is_bodiless:
             return
-        if self._chunked:
+        if self._is_chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self._send(data)
 
     def finish(self) -> None:
-        """End the answer as whole, and go on with the next request."""
-        if self._chunked and not self._bodiless:
+        """Complete the answer, and continue with the next request."""
+        if self._is_chunked and not self._is_bodiless:
             self._send(b"0\r\n\r\n")
         if self.is_draining:
-            # The head may have been written before the draining began.
-            self._keep = False
-        self._is_ending = True
-        self._settle()
+            # The head may have been written before draining began.
+            self._keep_alive = False
+        self._is_finishing = True
+        self._complete_answer()
 
     def answer(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
-        """Write a whole answer at once."""
+        """Write a complete answer at once."""
         self.write_head(status, headers, len(body))
-        if body and not self._bodiless:
+        if body and not self._is_bodiless:
             self._send(body)
         self.finish()
 
     def answer_error(self, error: RoadliftError, headers: Mapping[str, str]) -> None:
         """Write a typed error, as an answer or as a stream's last event.
 
-        A stream that was begun gets an ``error`` event and no end mark, and
-        its connection closes, so that it can't be taken for a whole one.
+        A stream that has started gets an ``error`` event without the final
+        chunk, and its connection is closed, so that the caller cannot mistake
+        it for a complete answer.
         """
         body = encode_error(error)
         if not self.started:
@@ -144,53 +147,53 @@
                 head.setdefault("Retry-After", format_seconds(error.retry_after))
             self.answer(error.status, head, body)
             return
-        if self._chunked:
+        if self._is_chunked:
             self.write(b"event: error\ndata: " + body + b"\n\n")
         self.truncate()
 
     def truncate(self) -> None:
-        """Close behind what was written, without the end of a whole answer."""
+        """Close after the written bytes, leaving the answer truncated."""
         if self._version != "1.1":
-            # The end of the connection is that mark to an HTTP/1.0 caller.
+            # An HTTP/1.0 caller takes an orderly close for a complete answer.
             self.reset()
             return
-        self._keep = False
-        self._is_ending = True
-        self._settle()
+        self._keep_alive = False
+        self._is_finishing = True
+        self._complete_answer()
 
     def reset(self) -> None:
-        """Drop the connection by a reset, with what is still held."""
+        """Reset the connection and discard the buffered bytes."""
         if self._socket is not None:
             option = struct.pack("ii", 1, 0)
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, option)
         self.close()
 
     def close(self) -> None:
-        """Drop the connection; the caller sees an answer cut short."""
+        """Close the connection at once; an unfinished answer is truncated."""
         if self._socket is None:
             return
         self._loop.unwatch(self._socket.fileno())
         self._socket.close()
         self._socket = None
-        self._held.clear()
-        self._held_bytes = 0
+        self._buffer.clear()
+        self._buffered_bytes = 0
         self._on_close(self)
 
-    # The time limits.
+    # Timeouts.
 
     def expire(self, now: float) -> None:
-        """Act on a limit that is over; called several times a second."""
+        """Handle an expired deadline; called several times a second."""
         if self._socket is None or now < self._deadline:
             return
-        if self._is_lingering or self._is_ending:
+        if self._is_lingering or self._is_finishing:
             self.close()
         elif self._is_answering:
-            # How long an answer may take is for the handler to bound.
+            # The handler limits the duration of an answer.
             self._deadline = now + self._limits.idle_timeout
         elif self._parser.is_idle:
             self._begin_linger()
         else:
-            self._refuse(RequestIncomplete("the request came too slowly"))
+            self._refuse(RequestIncomplete("timed out reading the request"))
 
     # Reading.
 
@@ -202,14 +205,14 @@
         except OSError:
             data = b""
         if not data:
-            self._lose_caller()
+            self._handle_disconnect()
         elif self._is_lingering:
             return
         elif not self._is_answering:
             self._feed(data)
-        elif len(self._early) < MOST_EARLY:
-            # A pipelined request waits until this answer is whole.
-            self._early += data
+        elif len(self._pipelined) < MOST_EARLY:
+            # A pipelined request waits until this answer is complete.
+            self._pipelined += data
         else:
             self._watch()
 
@@ -225,10 +228,10 @@
         if self._parser.wants_continue:
             self._parser.wants_continue = False
             self.write_interim(100)
-        self._take_next()
+        self._handle_next()
 
-    def _take_next(self) -> None:
-        """Hand on the next whole request, or answer the fault behind it."""
+    def _handle_next(self) -> None:
+        """Handle the next complete request, or answer the parse error."""
         if self._parser.requests:
             self._begin(self._parser.requests.popleft())
         elif self._parser.error is not None:
@@ -237,23 +240,23 @@
     def _begin(self, parsed) -> None:
         self._is_answering = True
         self.started = False
-        self._keep = parsed.keep_alive
+        self._keep_alive = parsed.keep_alive
         self._version = parsed.version
         self._method = parsed.received.method
         self._handler.handle(parsed.received, self)
 
     def _refuse(self, error: RoadliftError) -> None:
-        """Answer a request that can't be read, and close."""
+        """Answer a request that could not be read with an error, and close."""
         self._is_answering = True
         self.started = False
-        self._keep = False
+        self._keep_alive = False
         self._method = ""
         self._version = "1.1"
         self.on_gone = self.on_drained = None
         self.answer_error(error, {})
 
-    def _lose_caller(self) -> None:
-        was_answering = self._is_answering and not self._is_ending
+    def _handle_disconnect(self) -> None:
+        was_answering = self._is_answering and not self._is_finishing
         self.close()
         if was_answering and self.on_gone is not None:
             self.on_gone()
@@ -264,87 +267,87 @@
         if self._socket is None or self._is_lingering:
             return
         sent = 0
-        if not self._held:
+        if not self._buffer:
             try:
                 sent = self._socket.send(data)
             except BlockingIOError:
                 pass
             except OSError:
-                self._loop.call_later(0, self._lose_caller_once)
+                self._loop.call_later(0, self._handle_send_failure)
                 return
             if sent == len(data):
                 return
         view = memoryview(data)[sent:]
-        self._held.append(view)
-        self._held_bytes += len(view)
+        self._buffer.append(view)
+        self._buffered_bytes += len(view)
         self._watch()
 
-    def _lose_caller_once(self) -> None:
+    def _handle_send_failure(self) -> None:
         if self._socket is not None:
-            self._lose_caller()
+            self._handle_disconnect()
 
     def _watch(self) -> None:
-        """Watch for what can be done now."""
-        is_full = self._is_answering and len(self._early) >= MOST_EARLY
+        """Update which socket events are watched."""
+        is_full = self._is_answering and len(self._pipelined) >= MOST_EARLY
         on_read = None if is_full else self._on_readable
-        on_write = self._on_writable if self._held else None
+        on_write = self._on_writable if self._buffer else None
         self._loop.watch(self._socket.fileno(), on_read, on_write)
 
     def _on_writable(self) -> None:
-        was_full = self._held_bytes > LOW_WATER
-        while self._held:
+        was_full = self._buffered_bytes > LOW_WATER
+        while self._buffer:
             try:
-                sent = self._socket.send(self._held[0])
+                sent = self._socket.send(self._buffer[0])
             except BlockingIOError:
                 break
             except OSError:
-                self._lose_caller()
+                self._handle_disconnect()
                 return
-            self._drop_sent(sent)
-        if not self._held:
+            self._discard_sent(sent)
+        if not self._buffer:
             self._watch()
-            self._settle()
-        if was_full and self._held_bytes <= LOW_WATER and self.on_drained:
+            self._complete_answer()
+        if was_full and self._buffered_bytes <= LOW_WATER and self.on_drained:
             self.on_drained()
 
-    def _drop_sent(self, sent: int) -> None:
-        self._held_bytes -= sent
-        if sent == len(self._held[0]):
-            self._held.popleft()
+    def _discard_sent(self, sent: int) -> None:
+        self._buffered_bytes -= sent
+        if sent == len(self._buffer[0]):
+            self._buffer.popleft()
         else:
-            self._held[0] = self._held[0][sent:]
+            self._buffer[0] = self._buffer[0][sent:]
 
-    # The end of an answer.
+    # Completing an answer.
 
-    def _settle(self) -> None:
-        if not self._is_ending or self._socket is None or self._is_lingering:
+    def _complete_answer(self) -> None:
+        if not self._is_finishing or self._socket is None or self._is_lingering:
             return
-        if self._held:
+        if self._buffer:
             self._deadline = self._loop.clock.now() + self._limits.idle_timeout
             return
         self.on_gone = self.on_drained = None
-        if not self._keep:
+        if not self._keep_alive:
             self._begin_linger()
             return
-        self._is_answering = self._is_ending = False
+        self._is_answering = self._is_finishing = False
         self._deadline = self._loop.clock.now() + self._limits.idle_timeout
-        if self._early or self._parser.requests or self._parser.error:
-            # Later, so that many pipelined requests don't nest their calls.
-            self._loop.call_later(0, self._go_on)
+        if self._pipelined or self._parser.requests or self._parser.error:
+            # Deferred, so that many pipelined requests do not recurse.
+            self._loop.call_later(0, self._resume_reading)
 
-    def _go_on(self) -> None:
+    def _resume_reading(self) -> None:
         if self._socket is None or self._is_answering:
             return
-        early, self._early = self._early, b""
-        if early:
-            self._feed(early)
+        pipelined, self._pipelined = self._pipelined, b""
+        if pipelined:
+            self._feed(pipelined)
         else:
-            self._take_next()
+            self._handle_next()
         if self._socket is not None:
             self._watch()
 
     def _begin_linger(self) -> None:
-        """Close the writing half, and read on until the caller closes."""
+        """Shut down the writing side, and read until the caller closes."""
         self._is_lingering = True
         self._deadline = self._loop.clock.now() + LINGER
         try:
@@ -357,7 +360,7 @@
 
 
 def encode_error(error: RoadliftError) -> bytes:
-    """Return the JSON body of an error, in the shape of OpenAI's API."""
+    """Return the JSON body of an error, in the format of OpenAI's API."""
     content = {
         "message": str(error),
         "type": f"roadlift_{error.outcome}",
@@ -369,5 +372,5 @@
 
 
 def format_seconds(seconds: float) -> str:
-    """Return seconds for a Retry-After field, which takes whole ones."""
+    """Return seconds for a Retry-After field, an integer of at least 1."""
     return str(max(1, round(seconds)))
--- a/roadlift/http/messages.py
+++ b/roadlift/http/messages.py
@@ -1,11 +1,11 @@
-"""Describe requests as an ingress received them, and the limits they keep."""
+"""Requests received by an ingress, their limits and their headers."""
 
 import http
 from collections.abc import Mapping
 from typing import NamedTuple
 
 _SINGLE = frozenset({"host", "content-length", "transfer-encoding"})
-# Headers of one connection only (RFC 9110, section 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -23,7 +23,7 @@
 
 
 class HttpLimits(NamedTuple):
-    """What a caller may send, in bytes, and how slowly, in seconds."""
+    """Size limits of requests in bytes, and timeouts in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 8388608
@@ -32,9 +32,9 @@
 
 
 class Received(NamedTuple):
-    """A whole request of a caller.
+    """A complete request of a caller.
 
-    ``target`` is the path and query as they were sent; header names are in
+    ``target`` is the path and query as sent; header names are in
     lower case.
     """
 
@@ -55,9 +55,9 @@
 
 
 def add_header(headers: Headers, name: str, value: str) -> bool:
-    """Add a field, joined to one of the same name.
+    """Add a field, joining its value to an existing one of the same name.
 
-    False means that the field may stand once only and is there already.
+    Return false if the field is present and must not be repeated.
     """
     if name not in headers:
         headers[name] = value
@@ -70,7 +70,7 @@
 
 
 def drop_hop_by_hop(headers: Mapping[str, str]) -> Headers:
-    """Return the fields that an intermediary passes on."""
+    """Return the fields that an intermediary forwards."""
     named = {
         name.strip().lower()
         for name in headers.get("connection", "").split(",")
@@ -84,7 +84,7 @@
 
 
 def has_token(value: str, token: str) -> bool:
-    """Tell whether a comma-separated field contains a token."""
+    """Return whether a comma-separated field contains a token."""
     return any(part.strip().lower() == token for part in value.split(","))
 
 
@@ -97,6 +97,6 @@
 
 
 def read_retry_after(headers: Mapping[str, str]) -> int:
-    """Return the seconds of a Retry-After field, or 0; a date is none."""
+    """Return the seconds of a Retry-After field; 0 if absent or a date."""
     text = headers.get("retry-after", "").strip()
     return int(text) if text.isdecimal() else 0
--- a/roadlift/http/parser.py
+++ b/roadlift/http/parser.py
@@ -1,7 +1,7 @@
 """Parse the requests of one connection with llhttp, strictly.
 
-The parser of circuits.web accepts two lengths, bare line feeds and endless
-headers, and swallows pipelined requests; llhttp refuses them. See
+The parser of circuits.web accepts repeated lengths, bare line feeds and
+headers of unlimited size, and loses pipelined requests; llhttp is strict. See
 docs/topics/house-style.md.
 """
 
@@ -23,11 +23,11 @@
     has_token,
 )
 
-_FIELD_OVERHEAD = 4  # Bytes of a colon, a space and a line end.
+_FIELD_OVERHEAD = 4  # Bytes for a colon, a space and CRLF.
 
 
 class ParsedRequest:
-    """A whole request, and whether its connection may be kept."""
+    """A complete request, and whether its connection may stay open."""
 
     __slots__ = ("keep_alive", "received", "version")
 
@@ -38,11 +38,11 @@
 
 
 class RequestParser:
-    """Turns bytes into whole requests; a fault ends the connection.
+    """Parses bytes into complete requests; an error ends the connection.
 
-    ``requests`` holds what was parsed and not yet taken; ``error`` is the
-    fault behind them. ``wants_continue`` is set while a caller waits for an
-    interim answer before it sends its body.
+    ``requests`` holds the parsed requests that are not handled yet; ``error``
+    is the parse error after them, if any. ``wants_continue`` is set while a
+    caller waits for an interim answer before it sends its body.
     """
 
     def __init__(self, limits: HttpLimits) -> None:
@@ -54,7 +54,7 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_bytes = 0
-        self._fed_in_head = 0
+        self._head_bytes_fed = 0
         self.requests: deque[ParsedRequest] = deque()
         self.error: RoadliftError | None = None
         self.in_head = False
@@ -63,7 +63,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request has been begun."""
+        """Return whether no request has been started."""
         return not self.in_head and not self.in_body
 
     def feed(self, data: bytes) -> None:
@@ -76,29 +76,29 @@
             self._refuse_upgrade()
         except httptools.HttpParserError as error:
             if self.error is None:
-                self.error = InvalidRequest(f"the request is not HTTP/1.1: {error}")
+                self.error = InvalidRequest(f"malformed HTTP/1.1 request: {error}")
         if self.in_head and self.error is None:
-            self._fed_in_head += len(data)
-            if self._fed_in_head > self._limits.header_bytes:
-                self.error = self._describe_large_head()
+            self._head_bytes_fed += len(data)
+            if self._head_bytes_fed > self._limits.header_bytes:
+                self.error = self._make_large_head_error()
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._url = b""
         self._headers = {}
         self._body = []
         self._body_bytes = 0
         self._head_bytes = 0
-        self._fed_in_head = 0
+        self._head_bytes_fed = 0
         self.in_head = True
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append to the target."""
         self._url += url
         self._head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a field, of the head or the trailer."""
+        """Add a field of the head; only check the size of a trailer field."""
         self._head_bytes += len(name) + len(value) + _FIELD_OVERHEAD
         self._check_head(self._head_bytes)
         if not self.in_head:
@@ -106,10 +106,10 @@
             return
         decoded = name.decode("latin-1").lower()
         if not add_header(self._headers, decoded, value.decode("latin-1")):
-            self._raise(InvalidRequest(f"{decoded} stands twice"))
+            self._raise(InvalidRequest(f"duplicate {decoded} field"))
 
     def on_headers_complete(self) -> None:
-        """Check the head before any of the body is taken."""
+        """Check the head before the body is read."""
         self.in_head = False
         self.in_body = True
         self._method = self._parser.get_method().decode("latin-1")
@@ -122,7 +122,7 @@
         self.wants_continue = has_token(expected, "100-continue")
 
     def on_body(self, data: bytes) -> None:
-        """Take body bytes, up to the limit."""
+        """Append body bytes, up to the limit."""
         self.wants_continue = False
         self._body_bytes += len(data)
         if self._body_bytes > self._limits.body_bytes:
@@ -130,7 +130,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Keep the whole request until it is taken."""
+        """Queue the complete request."""
         self.in_body = False
         self.wants_continue = False
         target = self._read_target()
@@ -156,22 +156,22 @@
         return f"{path}?{query.decode('latin-1')}" if query is not None else path
 
     def _refuse_upgrade(self) -> None:
-        """Serve a request for an upgrade without one, and close."""
+        """Serve an upgrade request without upgrading, and close after it."""
         if self._method == "CONNECT":
             self.requests.pop()
-            self.error = InvalidRequest("CONNECT is not served")
+            self.error = InvalidRequest("CONNECT is not supported")
             return
         self.requests[-1].keep_alive = False
 
     def _check_head(self, size: int) -> None:
         if size > self._limits.header_bytes:
-            self._raise(self._describe_large_head())
+            self._raise(self._make_large_head_error())
 
-    def _describe_large_head(self) -> HeaderTooLarge:
+    def _make_large_head_error(self) -> HeaderTooLarge:
         return HeaderTooLarge(f"over {self._limits.header_bytes} bytes")
 
     def _raise(self, error: RoadliftError) -> None:
-        """Note a fault; raising ends the parser's run."""
+        """Record the first error; raising it stops the parser."""
         if self.error is None:
             self.error = error
         raise error
--- a/roadlift/http/server.py
+++ b/roadlift/http/server.py
@@ -8,9 +8,9 @@
 from roadlift.http.messages import HttpLimits
 from roadlift.relay.upstream import Address
 
-BACKLOG = 1024  # Connections that wait to be accepted.
-MOST_ACCEPTED = 64  # Connections accepted before other sockets get a turn.
-SWEEP_PERIOD = 0.25  # Seconds between looks at the time limits.
+BACKLOG = 1024  # Connections waiting to be accepted.
+MOST_ACCEPTED = 64  # Connections accepted per event-loop iteration.
+SWEEP_PERIOD = 0.25  # Seconds between checks of the timeouts.
 
 log = PartLog("http")
 
@@ -36,7 +36,7 @@
         return self._socket.getsockname()[1]
 
     def start(self) -> None:
-        """Bind the address and accept."""
+        """Bind the address and start accepting."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
@@ -44,7 +44,7 @@
         self._socket.listen(BACKLOG)
         self._loop.watch(self._socket.fileno(), self._accept)
         self._timer = self._loop.call_every(SWEEP_PERIOD, self._sweep)
-        log.info("Callers are served at %s.", self._address)
+        log.info("Listening for callers on %s.", self._address)
 
     def close(self) -> None:
         """Close the listening socket and every connection."""
@@ -55,10 +55,10 @@
             connection.close()
 
     def drain(self) -> None:
-        """Accept no more, and close every connection behind its next answer.
+        """Stop accepting, and close every connection after its next answer.
 
-        A caller that comes now is refused at once and can go elsewhere; one
-        that was let in late would be cut at the process's end.
+        New callers are refused at once and can connect to another instance;
+        if they were admitted late, the end of the process would cut them off.
         """
         self.is_draining = True
         self._stop_listening()
@@ -66,7 +66,7 @@
             connection.is_draining = True
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
@@ -84,7 +84,7 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                log.warning("A connection was not accepted: %s.", error)
+                log.warning("Could not accept a connection: %s.", error)
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/http/ingress.feature
+++ b/tests/http/ingress.feature
@@ -1,10 +1,10 @@
-Feature: Callers are read strictly, and answered one by one
+Feature: Requests are parsed strictly, and answered one at a time
 
-  Scenario Outline: Malformed requests are refused, and their connection closed
+  Scenario Outline: Malformed requests are rejected and their connection closed
     Given an ingress
     When <what> arrives <how>
     Then it is answered <status> and the connection is closed
-    And the handler has seen no request
+    And the handler has received no request
 
     Examples:
       | what                            | how          | status |
@@ -37,7 +37,7 @@
       | a body over the limit in chunks | at once      | 413    |
       | a body over the limit in chunks | byte by byte | 413    |
 
-  Scenario Outline: Well-formed requests are answered, and the connection kept
+  Scenario Outline: Well-formed requests are answered in order
     Given an ingress
     When <what> arrives <how>
     Then the answers are "<answers>" and the connection is <state>
@@ -53,27 +53,27 @@
       | a POST with a trailer       | at once      | POST /t a                     | open   |
       | three pipelined requests    | at once      | GET /1, POST /2 xy, GET /3    | open   |
       | three pipelined requests    | byte by byte | GET /1, POST /2 xy, GET /3    | open   |
-      | a fault behind two requests | at once      | GET /1, POST /2 xy, 400       | closed |
+      | a fault after two requests  | at once      | GET /1, POST /2 xy, 400       | closed |
       | an absolute target          | at once      | GET /p?q=1                    | open   |
       | a GET that closes           | at once      | GET /a                        | closed |
       | HTTP/1.0                    | at once      | GET /a                        | closed |
       | a request for an upgrade    | at once      | GET /u                        | closed |
 
-  Scenario: Pipelined requests wait for the answer before them
+  Scenario: Pipelined requests wait for the preceding answer
     Given an ingress that holds its answers
     When three pipelined requests arrives at once
-    Then the handler has seen 1 request
+    Then the handler has received 1 request
     When the held answers are written
     Then the answers are "GET /1, POST /2 xy, GET /3" and the connection is open
 
-  Scenario: A caller that waits for leave to send its body gets it
+  Scenario: A caller that expects 100-continue receives it
     Given an ingress
     When a head that expects a continuation arrives at once
     Then 100 arrives
     When its body of 3 bytes arrives
     Then the answers are "POST /e abc" and the connection is open
 
-  Scenario Outline: Time limits end what stands still
+  Scenario Outline: Idle connections and slow requests time out
     Given an ingress
     When <what> arrives at once
     And <seconds> seconds pass
@@ -88,7 +88,7 @@
       | half a body   | 10      | the connection is open without an answer        |
       | half a body   | 16      | it is answered 408 and the connection is closed |
 
-  Scenario: A connection used lately is kept for its whole idle time
+  Scenario: Each request restarts the idle timeout of its connection
     Given an ingress
     When a GET arrives at once
     And 12 seconds pass
@@ -96,19 +96,19 @@
     And 12 seconds pass
     Then the answers are "GET /a, GET /a" and the connection is open
 
-  Scenario: A caller that goes away is noticed at once
+  Scenario: A disconnected caller is detected at once
     Given an ingress that holds its answers
     When a GET arrives at once
     And the caller closes
-    Then 1 caller is gone
+    Then 1 caller has disconnected
 
-  Scenario: An answer of HTTP/1.0 that ends early is no whole one
+  Scenario: A truncated answer to an HTTP/1.0 caller ends in a reset
     Given an ingress that holds its answers
     When HTTP/1.0 arrives at once
-    And the held answer begins and ends early
+    And the held answer begins and is truncated
     Then the connection is reset
 
-  Scenario: A leaving server closes behind the next answer, and accepts no more
+  Scenario: A draining server closes after the next answer and stops accepting
     Given an ingress
     When a GET arrives at once
     And the server drains
@@ -116,22 +116,22 @@
     When a GET arrives at once
     Then the answers are "GET /a, GET /a" and the connection is closed
 
-  Scenario: A leaving server closes what is idle when it is told to
+  Scenario: A draining server closes idle connections on request
     Given an ingress
     When a GET arrives at once
     And the server drains
     And idle connections are closed
     Then the answers are "GET /a" and the connection is closed
 
-  Scenario: A leaving server does not cut what arrives
+  Scenario: A draining server does not interrupt a request being received
     Given an ingress
     When half a body arrives at once
     And the server drains
     And idle connections are closed
     Then the connection is open without an answer
 
-  Scenario: A leaving server closes behind an answer that was begun before
+  Scenario: A draining server closes after an answer that began before draining
     Given an ingress that holds its answers
     When a GET arrives at once
     And the held answer begins, the server drains and the answer ends
-    Then the answer is whole and the connection is closed
+    Then the answer is complete and the connection is closed
--- a/tests/steps/ingress_steps.py
+++ b/tests/steps/ingress_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the ingress, by a raw caller."""
+"""Steps for the ingress, with a caller on a raw socket."""
 
 import re
 import socket
@@ -65,7 +65,7 @@
     "a POST in chunks": _post(b"/c", _CHUNKED, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"),
     "a POST with a trailer": _post(b"/t", _CHUNKED, b"1\r\na\r\n0\r\nHost: b\r\n\r\n"),
     "three pipelined requests": _PIPELINED,
-    "a fault behind two requests": _PIPELINED[: _PIPELINED.index(b"GET /3")]
+    "a fault after two requests": _PIPELINED[: _PIPELINED.index(b"GET /3")]
     + b"GET / HTTP/1.1\nHost: a\n\n",
     "an absolute target": b"GET http://a/p?q=1 HTTP/1.1\r\nHost: a\r\n\r\n",
     "a GET that closes": b"GET /a HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
@@ -112,22 +112,22 @@
 
 @when("its body of 3 bytes arrives")
 def step_body(context):
-    """Send a body behind its head."""
+    """Send the body of a request whose head was sent."""
     context.ingress.send(context.caller, b"abc", False)
 
 
 @when("the held answers are written")
 def step_release(context):
-    """Answer what is held, and what comes then, at once."""
+    """Answer the held request, and later ones at once."""
     handler = context.ingress.handler
     handler.is_holding = False
     handler.answer(handler.received[0], handler.callers[0])
     context.ingress.driver.settle()
 
 
-@when("the held answer begins and ends early")
-def step_early(context):
-    """Cut an answer."""
+@when("the held answer begins and is truncated")
+def step_truncated(context):
+    """Begin an answer and truncate it."""
     caller = context.ingress.handler.callers[0]
     caller.write_head(200, {}, None)
     caller.write(b"half")
@@ -146,7 +146,7 @@
     context.ingress.driver.settle()
 
 
-@then("the answer is whole and the connection is closed")
+@then("the answer is complete and the connection is closed")
 def step_whole_closed(context):
     """Check the end of the answer and of the connection."""
     _read(context)
@@ -163,26 +163,26 @@
 
 @when("the server drains")
 def step_drain(context):
-    """Let connections close behind their next answers."""
+    """Start draining; connections close after their next answer."""
     context.port = context.ingress.server.port
     context.ingress.server.drain()
 
 
 @when("idle connections are closed")
 def step_close_idle(context):
-    """Close what waits for nothing."""
+    """Close the idle connections."""
     context.ingress.server.close_idle()
     context.ingress.driver.settle()
 
 
 @then("another caller is refused")
 def step_another(context):
-    """Check that nobody listens any more."""
+    """Check that the server no longer listens."""
     try:
         socket.create_connection(("127.0.0.1", context.port), timeout=1).close()
     except ConnectionRefusedError:
         return
-    raise AssertionError("a caller was let in")
+    raise AssertionError("the server accepted a caller while draining")
 
 
 def _read(context):
@@ -192,7 +192,7 @@
 
 
 def _list_answers(data: bytes) -> list[tuple[int, str]]:
-    """Return (status, body) of each whole answer."""
+    """Return (status, body) of each complete answer."""
     found = []
     while data:
         head, _, rest = data.partition(b"\r\n\r\n")
@@ -227,15 +227,15 @@
     assert context.is_closed == (state == "closed")
 
 
-@then("the handler has seen no request")
+@then("the handler has received no request")
 def step_unseen(context):
-    """Check that nothing was handed on."""
+    """Check that no request reached the handler."""
     assert context.ingress.handler.received == []
 
 
-@then("the handler has seen {count:d} request")
+@then("the handler has received {count:d} request")
 def step_seen(context, count):
-    """Check how many requests were handed on."""
+    """Check how many requests reached the handler."""
     assert len(context.ingress.handler.received) == count
 
 
@@ -256,16 +256,16 @@
 
 @then("the connection is reset")
 def step_reset(context):
-    """Check that the end is not an orderly one."""
+    """Check that the connection is reset, not closed in order."""
     try:
         while context.caller.recv(4096):
             pass
     except ConnectionResetError:
         return
-    raise AssertionError("the connection ended in order")
+    raise AssertionError("the connection was closed in order")
 
 
-@then("{count:d} caller is gone")
+@then("{count:d} caller has disconnected")
 def step_gone(context, count):
-    """Check that the handler was told."""
+    """Check that the handler was notified."""
     assert context.ingress.handler.gone == count
