--- a/roadlift/http/server.py
+++ b/roadlift/http/server.py
@@ -9,8 +9,8 @@
 from roadlift.relay.upstream import Address
 
 BACKLOG = 1024  # Connections waiting to be accepted.
-MOST_ACCEPTED = 64  # Connections accepted per event-loop iteration.
-SWEEP_PERIOD = 0.25  # Seconds between checks of the timeouts.
+MAX_ACCEPTED_AT_ONCE = 64  # Connections accepted per event-loop iteration.
+SWEEP_INTERVAL = 0.25  # Seconds between checks of the timeouts.
 
 log = PartLog("http")
 
@@ -43,7 +43,7 @@
         self._socket.bind(self._address)
         self._socket.listen(BACKLOG)
         self._loop.watch(self._socket.fileno(), self._accept)
-        self._timer = self._loop.call_every(SWEEP_PERIOD, self._sweep)
+        self._timer = self._loop.call_every(SWEEP_INTERVAL, self._sweep)
         log.info("Listening for callers on %s.", self._address)
 
     def close(self) -> None:
@@ -78,7 +78,7 @@
             self._socket = None
 
     def _accept(self) -> None:
-        for _ in range(MOST_ACCEPTED):
+        for _ in range(MAX_ACCEPTED_AT_ONCE):
             try:
                 sock, _ = self._socket.accept()
             except BlockingIOError:
