--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -30,7 +30,7 @@
 from roadlift.daemon.rests import Rests
 from roadlift.endpoints.api import engine_apis
 from roadlift.endpoints.events import EventFrames
-from roadlift.http.messages import read_retry_after
+from roadlift.http.messages import parse_retry_after
 from roadlift.idempotency.claims import (
     Claim,
     StoredAnswer,
@@ -224,7 +224,7 @@
         """Learn whether the endpoint wants calls from this process."""
         endpoint = self._name_endpoint()
         if status in TURNED_AWAY:
-            self._rests.record_backoff(endpoint, read_retry_after(headers))
+            self._rests.record_backoff(endpoint, parse_retry_after(headers))
         else:
             self._rests.record_accepted(endpoint, self._sent_at)
 
--- a/roadlift/daemon/gateway.py
+++ b/roadlift/daemon/gateway.py
@@ -18,7 +18,7 @@
 from roadlift.daemon.bundles import Bundles
 from roadlift.daemon.exchange import Call, EngineExchange, Exchange, ServiceExchange
 from roadlift.daemon.status import Status
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.policy.admission import Admission, Limits
 from roadlift.relay.caller import Caller
 
@@ -62,7 +62,7 @@
         for exchange in list(self._exchanges):
             exchange.close()
 
-    def handle(self, request: Received, caller: Caller) -> None:
+    def handle(self, request: ReceivedRequest, caller: Caller) -> None:
         """Answer a small request at once; hand a call to an exchange."""
         try:
             answer = self._status.answer(request.method, request.path)
@@ -81,7 +81,7 @@
         self._exchanges.discard(exchange)
         self.admission.leave(exchange.call.service)
 
-    def _begin(self, request: Received, caller: Caller) -> None:
+    def _begin(self, request: ReceivedRequest, caller: Caller) -> None:
         if self.is_closed:
             raise Draining(retry_after=1.0)
         body = request.body
@@ -99,7 +99,7 @@
         self._exchanges.add(exchange)
         exchange.start()
 
-    def _read_engine_call(self, request: Received, body: bytes) -> Call:
+    def _read_engine_call(self, request: ReceivedRequest, body: bytes) -> Call:
         if request.method != "POST":
             raise InvalidRequest(f"{request.path} takes POST, not {request.method}")
         content = _read_object(body)
@@ -118,7 +118,7 @@
         key = _read_key(request)
         return Call("POST", request.path, {}, body, service, key, True, name, content)
 
-    def _read_service_call(self, request: Received, body: bytes) -> Call:
+    def _read_service_call(self, request: ReceivedRequest, body: bytes) -> Call:
         service, _, path = request.path[len(SERVICE_PREFIX) :].partition("/")
         if self._bundles.bundle.get_service(service) is None:
             raise UnknownService(service)
@@ -142,7 +142,7 @@
     return content
 
 
-def _read_key(request: Received) -> str:
+def _read_key(request: ReceivedRequest) -> str:
     key = request.headers.get(KEY_HEADER, "")
     if len(key) > MOST_KEY:
         raise InvalidRequest(f"Idempotency-Key has more than {MOST_KEY} characters")
--- a/roadlift/http/connection.py
+++ b/roadlift/http/connection.py
@@ -9,24 +9,24 @@
 
 from roadlift.core.errors import RequestIncomplete, RoadliftError
 from roadlift.core.loop import Loop
-from roadlift.http.messages import HttpLimits, Received, get_reason
+from roadlift.http.messages import HttpLimits, ReceivedRequest, get_reason_phrase
 from roadlift.http.parser import RequestParser
 
 READ_SIZE = 65536  # Bytes read from a caller at once.
 HIGH_WATER = 131072  # Bytes buffered for a slow caller before its stream pauses.
 LOW_WATER = 32768  # Buffered bytes at which the stream resumes.
-MOST_EARLY = 65536  # Pipelined bytes after which reading pauses.
+MAX_PIPELINED_BYTES = 65536  # Pipelined bytes after which reading pauses.
 # Seconds for which input is still read after the writing side was shut down.
 # Closing a socket with unread input sends a reset, which can destroy the last
 # answer before the caller has read it.
-LINGER = 1.0
+LINGER_TIMEOUT = 1.0
 _BODILESS = (204, 304)
 
 
 class Handler(Protocol):
     """Handles the requests of a connection."""
 
-    def handle(self, received: Received, caller: "Connection") -> None:
+    def handle(self, received: ReceivedRequest, caller: "Connection") -> None:
         """Handle a request; write its answer to the caller, now or later."""
 
 
@@ -84,7 +84,7 @@
 
     def write_interim(self, status: int) -> None:
         """Write an interim answer, such as 100."""
-        self._send(f"HTTP/1.1 {status} {get_reason(status)}\r\n\r\n".encode())
+        self._send(f"HTTP/1.1 {status} {get_reason_phrase(status)}\r\n\r\n".encode())
 
     def write_head(
         self, status: int, headers: Mapping[str, str], length: int | None = None
@@ -93,7 +93,7 @@
         self.started = True
         self._is_bodiless = self._method == "HEAD" or status in _BODILESS
         self._is_chunked = length is None and self._version == "1.1"
-        lines = [f"HTTP/1.1 {status} {get_reason(status)}"]
+        lines = [f"HTTP/1.1 {status} {get_reason_phrase(status)}"]
         lines += [f"{name}: {value}" for name, value in headers.items()]
         if length is not None:
             if status not in _BODILESS:
@@ -210,7 +210,7 @@
             return
         elif not self._is_answering:
             self._feed(data)
-        elif len(self._pipelined) < MOST_EARLY:
+        elif len(self._pipelined) < MAX_PIPELINED_BYTES:
             # A pipelined request waits until this answer is complete.
             self._pipelined += data
         else:
@@ -288,7 +288,7 @@
 
     def _watch(self) -> None:
         """Update which socket events are watched."""
-        is_full = self._is_answering and len(self._pipelined) >= MOST_EARLY
+        is_full = self._is_answering and len(self._pipelined) >= MAX_PIPELINED_BYTES
         on_read = None if is_full else self._on_readable
         on_write = self._on_writable if self._buffer else None
         self._loop.watch(self._socket.fileno(), on_read, on_write)
@@ -349,7 +349,7 @@
     def _begin_linger(self) -> None:
         """Shut down the writing side, and read until the caller closes."""
         self._is_lingering = True
-        self._deadline = self._loop.clock.now() + LINGER
+        self._deadline = self._loop.clock.now() + LINGER_TIMEOUT
         try:
             self._socket.shutdown(socket.SHUT_WR)
         except OSError:
--- a/roadlift/http/messages.py
+++ b/roadlift/http/messages.py
@@ -31,7 +31,7 @@
     idle_timeout: float = 60.0
 
 
-class Received(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A complete request of a caller.
 
     ``target`` is the path and query as sent; header names are in
@@ -88,7 +88,7 @@
     return any(part.strip().lower() == token for part in value.split(","))
 
 
-def get_reason(status: int) -> str:
+def get_reason_phrase(status: int) -> str:
     """Return the reason phrase of a status."""
     try:
         return http.HTTPStatus(status).phrase
@@ -96,7 +96,7 @@
         return "Status"
 
 
-def read_retry_after(headers: Mapping[str, str]) -> int:
+def parse_retry_after(headers: Mapping[str, str]) -> int:
     """Return the seconds of a Retry-After field; 0 if absent or a date."""
     text = headers.get("retry-after", "").strip()
     return int(text) if text.isdecimal() else 0
--- a/roadlift/http/parser.py
+++ b/roadlift/http/parser.py
@@ -18,7 +18,7 @@
 from roadlift.http.messages import (
     Headers,
     HttpLimits,
-    Received,
+    ReceivedRequest,
     add_header,
     has_token,
 )
@@ -31,7 +31,9 @@
 
     __slots__ = ("keep_alive", "received", "version")
 
-    def __init__(self, received: Received, version: str, keep_alive: bool) -> None:
+    def __init__(
+        self, received: ReceivedRequest, version: str, keep_alive: bool
+    ) -> None:
         self.received = received
         self.version = version
         self.keep_alive = keep_alive
@@ -137,7 +139,9 @@
         connection = self._headers.get("connection", "")
         version = self._parser.get_http_version()
         keep_alive = version == "1.1" and not has_token(connection, "close")
-        received = Received(self._method, target, self._headers, b"".join(self._body))
+        received = ReceivedRequest(
+            self._method, target, self._headers, b"".join(self._body)
+        )
         self.requests.append(ParsedRequest(received, version, keep_alive))
 
     def _read_target(self) -> str:
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -14,7 +14,7 @@
 from roadlift.crashes.ledger import CrashLedger
 from roadlift.draining.drain import Drain, Phase
 from roadlift.http.connection import Connection
-from roadlift.http.messages import HttpLimits, Received
+from roadlift.http.messages import HttpLimits, ReceivedRequest
 from roadlift.http.server import Server
 from roadlift.instance.access import Access
 from roadlift.instance.aggregator import Aggregator
@@ -154,7 +154,7 @@
         instances = self._knowledge.count_instances()
         return self.get_budget(service).spend(now, instances)
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Begin the exchange of a request, or refuse it."""
         call = None
         try:
@@ -185,7 +185,7 @@
         name = str(model) if model else None
         log.event("call_ended", outcome=outcome, model=name, **fields)
 
-    def _read(self, received: Received) -> Call:
+    def _read(self, received: ReceivedRequest) -> Call:
         if self._follower.configuration is None:
             raise NoConfiguration(retry_after=1.0)
         return self._format.read_call(received)
@@ -219,7 +219,7 @@
 
     def _refuse(
         self,
-        received: Received,
+        received: ReceivedRequest,
         caller: Connection,
         error: RoadliftError,
         call: Call | None,
@@ -273,7 +273,7 @@
     def __init__(self, ingress: Ingress) -> None:
         self._ingress = ingress
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Answer 200 or 503."""
         is_ready = self._ingress.is_ready
         status, body = (200, b"ready\n") if is_ready else (503, b"not ready\n")
--- a/roadlift/instance/metrics.py
+++ b/roadlift/instance/metrics.py
@@ -13,7 +13,7 @@
 from roadlift.core.kernel import Kernel, parts
 from roadlift.core.logs import PartLog
 from roadlift.http.connection import Connection
-from roadlift.http.messages import HttpLimits, Received
+from roadlift.http.messages import HttpLimits, ReceivedRequest
 from roadlift.http.server import Server
 from roadlift.relay.upstream import Address
 
@@ -365,7 +365,7 @@
             self.set("roadlift_dropped_lines", lines.dropped_in_all)
         return generate_latest(self._registry)
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Answer a request for the metrics."""
         if received.target.partition("?")[0] != PATH:
             caller.answer(404, {"Content-Type": "text/plain"}, b"not found\n")
--- a/roadlift/serving/interfaces.py
+++ b/roadlift/serving/interfaces.py
@@ -9,7 +9,7 @@
 
 from roadlift.core.errors import RoadliftError
 from roadlift.core.registry import Registry
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.relay.upstream import Answer, Request
 from roadlift.serving.calls import Call, Model
 from roadlift.serving.directory import Endpoint
@@ -145,10 +145,10 @@
 class CallFormat(Protocol):
     """How calls are read from callers and sent to endpoints."""
 
-    def read_id(self, received: Received) -> str:
+    def read_id(self, received: ReceivedRequest) -> str:
         """Return the id of a caller's request, or empty."""
 
-    def read_call(self, received: Received) -> Call:
+    def read_call(self, received: ReceivedRequest) -> Call:
         """Read a caller's request, or raise InvalidRequest."""
 
     def build_request(
--- a/standins/loopback.py
+++ b/standins/loopback.py
@@ -13,7 +13,7 @@
 from roadlift.core.errors import RoadliftError
 from roadlift.core.loop import Loop
 from roadlift.http.connection import Connection
-from roadlift.http.messages import HttpLimits, Received
+from roadlift.http.messages import HttpLimits, ReceivedRequest
 from roadlift.http.server import Server
 from roadlift.relay.upstream import Address, Request
 from standins.installation import REFUSAL, Installation, MemoryLine, Reply, Runner
@@ -95,7 +95,7 @@
         self._site = site
         self._runner = runner
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Take a request."""
         before = len(self._runner.ran)
         request = _make_request(received)
@@ -110,7 +110,7 @@
     def __init__(self, site: "Site") -> None:
         self._site = site
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Take a request."""
         if received.path == CONTROL:
             if received.method == "POST":
@@ -123,7 +123,7 @@
             self._site.installation.store.handle(_make_request(received), line)
 
 
-def _make_request(received: Received) -> Request:
+def _make_request(received: ReceivedRequest) -> Request:
     return Request(
         received.method, received.target, dict(received.headers), received.body
     )
--- a/tests/steps/adapter_steps.py
+++ b/tests/steps/adapter_steps.py
@@ -13,7 +13,7 @@
 from roadlift.conf.settings import SETTINGS, Settings
 from roadlift.core.checks import run_checks
 from roadlift.core.errors import RoadliftError
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.relay.upstream import Address, Answer
 from roadlift.serving.calls import Model
 from roadlift.serving.directory import Endpoint
@@ -58,7 +58,7 @@
         found.setdefault("request-id", "r1")
         if "connection" in found:
             found["x-mine"] = "1"
-    received = Received("POST", "/a/b?c", {"host": "h", **found}, b"")
+    received = ReceivedRequest("POST", "/a/b?c", {"host": "h", **found}, b"")
     context.read = _run(lambda: _ADAPTER.calls.read_call(received))
 
 
--- a/tests/steps/deadly_steps.py
+++ b/tests/steps/deadly_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 
 from roadlift.daemon.gateway import Gateway
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from standins.hub import HubCaller
 
 _PROMPT = "deadly"
@@ -25,7 +25,9 @@
     body = json.dumps(content).encode()
     for number in range(int(span / gap)):
         gateway = hub.kernels[names[number % len(names)]].get(Gateway)
-        gateway.handle(Received("POST", "/v1/completions", {}, body), HubCaller())
+        gateway.handle(
+            ReceivedRequest("POST", "/v1/completions", {}, body), HubCaller()
+        )
         hub.advance(gap)
 
 
--- a/tests/steps/measure_steps.py
+++ b/tests/steps/measure_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.instance.leases import Leases
 from roadlift.instance.metrics import InstanceMetrics
 from tests.support.configuration import BASE
@@ -108,7 +108,7 @@
     """Pass a request to the handler of the metrics."""
     context.caller = _Caller()
     metrics = context.entries.entries["a"].kernel.get(InstanceMetrics)
-    metrics.handle(Received("GET", target, {}, b""), context.caller)
+    metrics.handle(ReceivedRequest("GET", target, {}, b""), context.caller)
 
 
 @then("the answer is {status:d}")
--- a/tests/support/deployment.py
+++ b/tests/support/deployment.py
@@ -8,7 +8,7 @@
 from roadlift.daemon.members import Members
 from roadlift.daemon.owners import Owners
 from roadlift.daemon.pins import Pins
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.membership.members import State
 from standins.hub import Delivery, Hub, HubCaller
 from tests.support.stores import MemoryStore
@@ -107,7 +107,7 @@
         content = {"model": model, "prompt": f"p{len(self.callers)}", "max_tokens": 4}
         body = json.dumps(content).encode()
         lowered = {key.lower(): value for key, value in (headers or {}).items()}
-        request = Received("POST", "/v1/completions", lowered, body)
+        request = ReceivedRequest("POST", "/v1/completions", lowered, body)
         self.callers.append(caller)
         self.get(name, Gateway).handle(request, caller)
         return caller
--- a/tests/support/entries.py
+++ b/tests/support/entries.py
@@ -5,7 +5,7 @@
 from roadlift.conf.settings import Settings
 from roadlift.core.clock import Clock
 from roadlift.core.kernel import Kernel
-from roadlift.http.messages import Received
+from roadlift.http.messages import ReceivedRequest
 from roadlift.instance.ingress import Ingress
 from roadlift.instance.platform import import_plugins
 from standins.hub import HubCaller, HubTransport
@@ -232,6 +232,6 @@
         found = {"host": "h.example", "request-id": f"r{number}", **headers}
         now = self.installation.clock.now()
         self.sent[found["request-id"]] = Sent(self.entries[name].process, now)
-        received = Received(method, target, found, body)
+        received = ReceivedRequest(method, target, found, body)
         self.entries[name].ingress.handle(received, caller)
         return caller
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -6,7 +6,7 @@
 from roadlift.core.clock import ManualClock
 from roadlift.core.loop import Loop
 from roadlift.http.connection import Connection
-from roadlift.http.messages import HttpLimits, Received
+from roadlift.http.messages import HttpLimits, ReceivedRequest
 from roadlift.http.server import Server
 from roadlift.relay.upstream import Address, Call, Request, SocketDialer
 
@@ -43,12 +43,12 @@
     """Answers each request with its method, target and body."""
 
     def __init__(self) -> None:
-        self.received: list[Received] = []
+        self.received: list[ReceivedRequest] = []
         self.callers: list[Connection] = []
         self.gone = 0
         self.is_holding = False
 
-    def handle(self, received: Received, caller: Connection) -> None:
+    def handle(self, received: ReceivedRequest, caller: Connection) -> None:
         """Answer at once, or hold the caller."""
         self.received.append(received)
         self.callers.append(caller)
@@ -56,7 +56,7 @@
         if not self.is_holding:
             self.answer(received, caller)
 
-    def answer(self, received: Received, caller: Connection) -> None:
+    def answer(self, received: ReceivedRequest, caller: Connection) -> None:
         """Write the echo."""
         text = f"{received.method} {received.target} {received.body.decode()}"
         caller.answer(200, {"Content-Type": "text/plain"}, text.encode())
