--- a/roadlift/http/parser.py
+++ b/roadlift/http/parser.py
@@ -108,7 +108,7 @@
             return
         decoded = name.decode("latin-1").lower()
         if not add_header(self._headers, decoded, value.decode("latin-1")):
-            self._raise(InvalidRequest(f"duplicate {decoded} field"))
+            self._raise(InvalidRequest(f"{decoded} must not be repeated"))
 
     def on_headers_complete(self) -> None:
         """Check the head before the body is read."""
