--- a/roadlift/daemon/exchange.py
+++ b/roadlift/daemon/exchange.py
@@ -30,7 +30,7 @@
 from roadlift.daemon.rests import Rests
 from roadlift.endpoints.api import engine_apis
 from roadlift.endpoints.events import EventFrames
-from roadlift.http.messages import read_retry_after
+from roadlift.http.messages import parse_retry_after
 from roadlift.idempotency.claims import (
     Claim,
     StoredAnswer,
@@ -40,7 +40,7 @@
 from roadlift.pins.requester import Waiter
 from roadlift.pins.table import HeldPin
 from roadlift.relay.caller import Caller
-from roadlift.relay.upstream import Address, Line, Request
+from roadlift.relay.upstream import Address, CallHandle, Request
 from roadlift.retries.rules import may_retry
 from roadlift.serving.identity import compute_identity
 
@@ -94,7 +94,7 @@
         self._claim: Claim | None = None
         self._kept = bytearray() if call.key else None
         self._kept_head: tuple[int, dict[str, str]] = (0, {})
-        self._upstream: Line | None = None
+        self._upstream: CallHandle | None = None
         self._address: Address | None = None
         self._sent_at = 0.0
         self._head: tuple[int, dict[str, str]] | None = None
@@ -224,7 +224,7 @@
         """Learn whether the endpoint wants calls from this process."""
         endpoint = self._name_endpoint()
         if status in TURNED_AWAY:
-            self._rests.record_backoff(endpoint, read_retry_after(headers))
+            self._rests.record_backoff(endpoint, parse_retry_after(headers))
         else:
             self._rests.record_accepted(endpoint, self._sent_at)
 
