--- a/benchmarks/capacity/memory.py
+++ b/benchmarks/capacity/memory.py
@@ -76,7 +76,7 @@
             f"127.0.{index // 250}.{index % 250}:8081",
             f"127.0.{index // 250}.{index % 250}:8080",
         )
-        detector._learn(member)
+        detector._apply_update(member)
         detector.heads[member.name] = 1
     return detector
 
