--- a/roadlift/instance/exchange.py
+++ b/roadlift/instance/exchange.py
@@ -752,7 +752,7 @@
         self._ingress.finish(self)
         self._authorization.end(outcome)
         self._update_metrics(outcome, is_late, now)
-        self._ingress.log_call_end(
+        self._ingress.log_end(
             outcome,
             is_late,
             self.call.model,
--- a/roadlift/instance/ingress.py
+++ b/roadlift/instance/ingress.py
@@ -176,7 +176,7 @@
         self._exchanges.discard(exchange)
         self.measures.set("roadlift_running_calls", len(self._exchanges))
 
-    def log_call_end(
+    def log_end(
         self, outcome: str, is_late: bool, model: Model | None, **fields: object
     ) -> None:
         """Log how a call ended; calls that were served in time are sampled."""
